--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -15,8 +15,8 @@
 import uvloop
 
 from onyxpulley.clock import now_us
-from onyxpulley.copies import Copies
-from onyxpulley.core import Answer, Attempt, Exchange, Order, Outcome, Report, Request, Send
+from onyxpulley.copy_store import CopyStore
+from onyxpulley.core import Answer, Attempt, AttemptResult, Command, Exchange, Outcome, Request, Send
 from onyxpulley.incident.keep import Keep
 from onyxpulley.incident.recorder import Recorder
 
@@ -26,31 +26,33 @@
 class Decider:
     """Sends each request to one of some servers, at once."""
 
-    def pick(self, request: Request) -> Sequence[Order]:
+    def route(self, request: Request) -> Sequence[Command]:
         server = f"s-{int(request.txn, 16) % SERVERS:08x}"
         return [Send(Attempt(request, 0, server, "p0", now_us() + 5_000_000))]
 
-    def report(self, attempt: Attempt, report: Report, over: bool) -> Sequence[Order]:
+    def attempt_finished(
+        self, attempt: Attempt, result: AttemptResult, request_done: bool
+    ) -> Sequence[Command]:
         return []
 
-    def tick(self) -> Sequence[Order]:
+    def run_due_timers(self) -> Sequence[Command]:
         return []
 
-    def left(self, request: Request) -> Sequence[Order]:
+    def client_left(self, request: Request) -> Sequence[Command]:
         return []
 
-    settle = left
+    answer_now = client_left
 
-    def keeps(self, cls: str) -> bool:
+    def is_cacheable(self, cls: str) -> bool:
         return False
 
     def recheck(self, attempt: Attempt) -> bool:
         return True
 
-    def due_in(self) -> float | None:
+    def next_timer_in(self) -> float | None:
         return None
 
-    def stay_away(self) -> int:
+    def retry_after_ms(self) -> int:
         return 0
 
 
@@ -76,17 +78,17 @@
 async def play(rate: int, seconds: int, recorder: Recorder | None) -> float:
     """Processor time a request, in microseconds; a second of requests at a time, as fast as they go."""
     carrier = Carrier()
-    exchange = Exchange(Decider(), carrier, Bounds(), Copies(0))
+    exchange = Exchange(Decider(), carrier, Bounds(), CopyStore(0))
     if recorder is not None:
-        exchange.seen = recorder.tally
+        exchange.observer = recorder.tally
     serial, used = 0, 0.0
     for _ in range(seconds):
         at = time.process_time()
         for _ in range(rate):
             serial += 1
             cls = ("video-part", "page-file")[serial % 2]
-            exchange.take(Request(f"{serial:016x}", cls, "7f3a9c21e0b4d655", now_us() + 10**7, answered))
-            exchange.finish(carrier.sent.pop(), Report(Outcome.SERVED, load=(serial % 9, 0.5)))
+            exchange.submit(Request(f"{serial:016x}", cls, "7f3a9c21e0b4d655", now_us() + 10**7, answered))
+            exchange.finish(carrier.sent.pop(), AttemptResult(Outcome.SERVED, load=(serial % 9, 0.5)))
         if recorder is not None:
             recorder._hand_over()
             while not recorder.queue.empty():
--- a/onyxpulley/bulletin.py
+++ b/onyxpulley/bulletin.py
@@ -13,7 +13,7 @@
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import monotonic
 from onyxpulley.core import Exchange
-from onyxpulley.facade import Facade, Member
+from onyxpulley.decision_adapter import DecisionAdapter, Member
 from onyxpulley.news import QUIET, UP, BadNews, Event, Ledger, Recall, Roster, Watch, event, stamps_of
 from onyxpulley.servers import Servers
 from onyxpulley.streams import close_quietly
@@ -55,12 +55,12 @@
         found: list[bytes] = []
         try:
             while True:
-                got = self.sock.recv_into(self.buffer.room())
+                got = self.sock.recv_into(self.buffer.free_space())
                 if not got:
                     return found or None
                 self.got += got
                 self.buffer.end += got
-                while (line := self.buffer.line(self.bulletin.line)) is not None:
+                while (line := self.buffer.read_line(self.bulletin.line)) is not None:
                     found.append(line)
         except BlockingIOError:
             return found
@@ -86,7 +86,7 @@
         address: tuple[str, int],
         seed: int,
         line: int,
-        facade: Facade,
+        facade: DecisionAdapter,
         exchange: Exchange,
         servers: Servers,
     ) -> None:
@@ -110,20 +110,20 @@
         """The events of the start. Raises one of `BAD`."""
         found = [event(row) for row in rows]
         for stamp in (stamp for one in found for stamp in stamps_of(one)):
-            self.facade.platform.saw_at_start(stamp)
+            self.facade.platform_clock.saw_at_start(stamp)
         for one in found:
             self.apply(one, live=False)
         self.ledger.no = no
 
     def apply(self, found: Event | None, live: bool = True) -> None:
         for stamp in stamps_of(found) if live else ():
-            self.facade.platform.saw_event(stamp)
+            self.facade.platform_clock.saw_event(stamp)
         if isinstance(found, Roster):
             self._roster(found.full, found.members)
         elif isinstance(found, Recall):
             self.purged(found.item, found.lot, found.issued)
             self.exchange.copies.purge(found.item, found.lot, found.issued)
-            self.exchange.run(self.facade.purge(found.item, found.lot, found.issued, live))
+            self.exchange.execute(self.facade.purge(found.item, found.lot, found.issued, live))
 
     def _roster(self, full: bool, members: Sequence[Member]) -> None:
         if not members and not full:
@@ -135,7 +135,7 @@
                 self.servers.listed(uid, "", "Gone")
         for m in members:
             self.servers.listed(m.uid, m.endpoint, m.state)
-        self.exchange.run(self.facade.roster(full, members))
+        self.exchange.execute(self.facade.update_servers(full, members))
 
     # ---- Calls
     def move(self, address: tuple[str, int]) -> None:
@@ -224,7 +224,7 @@
                 found = self.ledger.read(line)
                 if isinstance(found, Roster) and not found.full:
                     for stamp in stamps_of(found):
-                        self.facade.platform.saw_event(stamp)
+                        self.facade.platform_clock.saw_event(stamp)
                     changes += found.members
                 elif found is not None:
                     self._roster(False, changes)
--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -78,7 +78,7 @@
             raise Malformed("length line too long")
         return None
     try:
-        return fields.number(data[at + 1 : line].decode("ascii"), 0, most), line + 2
+        return fields.parse_number(data[at + 1 : line].decode("ascii"), 0, most), line + 2
     except ValueError as problem:
         raise Malformed(str(problem)) from problem
 
@@ -122,7 +122,7 @@
     cls = words[2].decode("ascii")
     if cls not in classes:
         raise ValueError(f"unknown class {cls[:40]!r}")
-    row = fields.read(words[3].decode("ascii"))
+    row = fields.parse(words[3].decode("ascii"))
     for name in ("txn", "item"):
         if len(row.get(name, "")) != 16 or not HEX.issuperset(row[name]):
             raise ValueError(f"{name} is not 16 hex digits")
@@ -135,15 +135,15 @@
     return Request(
         txn=row["txn"],
         cls=cls,
-        item=row["item"],
-        due=arrived + 1000 * fields.number(row.get("limit", ""), 1, 3_600_000),
+        object_id=row["item"],
+        deadline=arrived + 1000 * fields.parse_number(row.get("limit", ""), 1, 3_600_000),
         reply=unanswered,
-        part=fields.number(row.get("part", "0"), 0, 2**31),
-        group=fields.number(row["group"], 0, 255) if "group" in row else None,
+        part=fields.parse_number(row.get("part", "0"), 0, 2**31),
+        group=fields.parse_number(row["group"], 0, 255) if "group" in row else None,
         size_kb=size,
         body=words[4] if len(words) > 4 else b"",
-        have=have,
-        again=row.get("second", "") == "1",
+        client_tag=have,
+        is_repeat=row.get("second", "") == "1",
     )
 
 
@@ -195,10 +195,10 @@
 
     def _room(self) -> memoryview:
         try:
-            return self.buffer.room()
+            return self.buffer.free_space()
         except BufferError as problem:
             self.stop_reading(CloseReason.MALFORMED, str(problem))
-            return self.buffer.room()
+            return self.buffer.free_space()
 
     def _take_in(self) -> None:
         self.used = now_us()
@@ -229,7 +229,7 @@
     def settle(self) -> None:
         """The final answer now to all that is open."""
         for request in list(self.open.values()):
-            self.front.exchange.settle(request)
+            self.front.exchange.answer_now(request)
 
     def _parse(self) -> None:
         buffer = self.buffer
@@ -265,7 +265,7 @@
             raise Malformed("no tag")
         if verb == b"ASK":
             if tag in self.open:  # an answer would tell neither of the two
-                self.front.exchange.left(self.open.pop(tag))
+                self.front.exchange.client_left(self.open.pop(tag))
                 raise Malformed("tag is open already")
             if len(self.open) >= OPEN:
                 return self._fail(words, "too many open requests")
@@ -277,14 +277,14 @@
             def reply(answer: Answer) -> None:
                 self._reply(tag, answer)
 
-            request.reply, request.out_of_touch = reply, self.stream.out_of_touch
+            request.reply, request.client_may_have_left = reply, self.stream.out_of_touch
             first, self.asked = not self.asked, self.used
             self.open[tag] = request
-            self.front.exchange.take(request, first)
+            self.front.exchange.submit(request, first)
         elif verb == b"NEVERMIND":
             left = self.open.pop(tag, None)
             if left is not None:
-                self.front.exchange.left(left)
+                self.front.exchange.client_left(left)
         elif verb == b"STATUS":
             self.push(reply_bytes(tag, b"fit" if self.front.fit else b"unfit"))
         else:
@@ -296,10 +296,10 @@
         row = []
         if answer.verdict is Verdict.SERVED and answer.tag:
             row.append(f"have={answer.tag}")
-        if answer.same:
+        if answer.not_modified:
             row.append("same=1")
-        if answer.later:
-            row.append(f"later={answer.later}")
+        if answer.retry_after_ms:
+            row.append(f"later={answer.retry_after_ms}")
         self.push(reply_bytes(tag, WORD[answer.verdict], ",".join(row), answer.body))
 
     def push(self, data: bytes) -> None:
@@ -383,7 +383,7 @@
         gone = list(self.open.values())
         self.open.clear()
         for request in gone:
-            self.front.exchange.left(request)
+            self.front.exchange.client_left(request)
 
 
 class Clients(Listener):
--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -36,8 +36,8 @@
 
     async def _run(self) -> None:
         try:
-            while (line := self.buffer.line(LINE - 1)) is None:
-                got = await self.stream.receive_into(self.buffer.room())
+            while (line := self.buffer.read_line(LINE - 1)) is None:
+                got = await self.stream.receive_into(self.buffer.free_space())
                 if not got:
                     return
                 self.buffer.end += got
--- a/onyxpulley/control.py
+++ b/onyxpulley/control.py
@@ -11,7 +11,7 @@
 
 from onyxpulley import interface as api
 from onyxpulley.hashing import part_of, scores
-from onyxpulley.interface import Effect, Note, Outcome, State
+from onyxpulley.interface import Effect, Note, Outcome, ServerState
 from onyxpulley.jobs import Attempt, Job
 from onyxpulley.memo import Flow, Memo
 from onyxpulley.server_state import HOME_SPAN, Server
@@ -45,7 +45,7 @@
 REPORT_SPAN = 2_000 * MS  # memory of a load report: half forgets between two, double refuses at idle caches
 HEAT_SPAN = 3_000 * MS  # memory of an object's own load: half is chance, double meets a rush too late
 HEAT_PART = 0.5  # part of one cache's fair load that an object may be before it goes to more than one
-NO_FILL = (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.SOURCE_LACKS, Note.ORIGIN_FAILED)
+NO_FILL = (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.SOURCE_MISS, Note.ORIGIN_FAILED)
 RARE = 0.3  # weight of one sample that comes alone, at most: half learns late, double jumps at chance
 OWN_PART = 0.7  # part of the aim in which the router's own link must be done: 1.0 risks the aim in a rush
 OWN_MARGIN = 100 * MS  # an own copy is let go so much before its age is up: it is written a little later
@@ -63,29 +63,29 @@
         self.actions: list[api.Action] = []
         self.servers: dict[str, Server] = {}
         self.origin: Server | None = None
-        self.inlet = Server(api.Entry("", "", ""), "inlet")  # what all fills of this location pass
+        self.inlet = Server(api.ServerEntry("", "", ""), "inlet")  # what all fills of this location pass
         self.jobs: dict[str, Job] = {}
-        self.ranks: Memo[tuple[str, str], tuple[Server, ...]] = Memo(settings.memo)
+        self.ranks: Memo[tuple[str, str], tuple[Server, ...]] = Memo(settings.max_tracked_objects)
         self.by_role: dict[str, list[Server]] = {}
         self.gone: set[str] = set()  # servers that are gone and still matter
         self.parts_due = 0  # before that no server's part is due for a change
         self.usual_slowness: dict[str, float] = {}  # by role, while parts are adapted
         self.purged: dict[tuple[str, object], int] = {}
         self.timers: dict[int, Attempt | Server | None] = {}
-        self.learned: Memo[tuple[str, int], float] = Memo(settings.memo)
+        self.learned: Memo[tuple[str, int], float] = Memo(settings.max_tracked_objects)
         self.means: dict[str, float] = {}
         self.lag, self.fill_lag, self.retries = 20.0 * MS, 75.0 * MS, RETRY_MOST / 2
         self.asked, self.served, self.fills = Flow(LOAD_SPAN), Flow(LOAD_SPAN), Flow(LOAD_SPAN)
-        self.heat: Memo[str, Flow] = Memo(settings.memo)
+        self.heat: Memo[str, Flow] = Memo(settings.max_tracked_objects)
         self.own_free = 0.0  # when all that was answered from own copies will have left this router's link
         self.mean_cost = 100.0 * MS  # work per worth of the requests, lately
 
     def configure(self, settings: api.Settings) -> None:
         """Other figures from now on; open jobs keep their class's, servers their roles."""
         self.set, self.classes = settings, {c.name: c for c in settings.classes}
-        self.ranks.reset(settings.memo, min(RANKED, len(self.servers)))
+        self.ranks.reset(settings.max_tracked_objects, min(RANKED, len(self.servers)))
         for table in (self.learned, self.heat):
-            table.most = settings.memo
+            table.most = settings.max_tracked_objects
 
     # ---- Ranking, membership and warm-up
     def ranked(self, role: str, obj: str) -> tuple[Server, ...]:
@@ -95,7 +95,7 @@
         found = self.ranks.get(key)
         if found is None:
             own = self.members(role)
-            weighted = self.set.nominal_weights
+            weighted = self.set.weights_are_nominal
             by = scores(obj, ((s.id, s.weight if weighted else 1.0) for s in own))
             order = nsmallest(RANKED, zip(by, own, strict=True), key=lambda row: (-row[0], row[1].id))
             self.ranks[key] = found = tuple(server for _, server in order)
@@ -104,26 +104,26 @@
     def members(self, role: str) -> list[Server]:
         """All servers of a role that are not gone, until the list changes."""
         if role not in self.by_role:
-            own = [s for s in self.servers.values() if s.role == role and s.state != State.GONE]
+            own = [s for s in self.servers.values() if s.role == role and s.state != ServerState.GONE]
             self.by_role[role] = own
         return self.by_role[role]
 
-    def role_of(self, entry: api.Entry) -> str:
+    def role_of(self, entry: api.ServerEntry) -> str:
         if entry.kind == self.set.parent_kind:
             return "parent"
         if entry.kind == self.set.origin_kind:
             return "origin"
         return "cache" if entry.zone == self.set.zone else "sibling"
 
-    def on_listing(self, event: api.Listing) -> None:
-        if event.kind is api.ListKind.FAILED:
+    def on_listing(self, event: api.MembershipUpdate) -> None:
+        if event.kind is api.UpdateKind.FAILED:
             return self.later(None, HOLD)  # asks again when the timer comes
-        changed = event.kind in (api.ListKind.FULL, api.ListKind.CACHED)
+        changed = event.kind in (api.UpdateKind.FULL, api.UpdateKind.CACHED)
         if changed:
             named = {e.server for e in event.entries}
             for server in self.servers.values():
                 if server.id not in named:
-                    server.state = State.GONE
+                    server.state = ServerState.GONE
                     self.gone.add(server.id)
         for entry in event.entries:
             changed = self.take_entry(entry) or changed
@@ -133,42 +133,42 @@
         if changed:
             self.parts_due = 0
             self.by_role.clear()
-            self.ranks.reset(self.set.memo, min(RANKED, len(self.servers)))
-        self.origin = next((s for s in self.members("origin") if s.state == State.READY), None)
+            self.ranks.reset(self.set.max_tracked_objects, min(RANKED, len(self.servers)))
+        self.origin = next((s for s in self.members("origin") if s.state == ServerState.READY), None)
         if self.set.subscribe and not self.asked_list:
             self.asked_list = True
             self.actions.append(api.Subscribe())
 
-    def take_entry(self, entry: api.Entry) -> bool:
+    def take_entry(self, entry: api.ServerEntry) -> bool:
         """One line of the list. Does it change what the ranks rest on? No drain, nothing elsewhere."""
         if entry.server not in self.servers:
             self.servers[entry.server] = Server(entry, self.role_of(entry))
         server = self.servers[entry.server]
-        before = server.state == State.GONE, server.weight
+        before = server.state == ServerState.GONE, server.weight
         server.weight = entry.weight if entry.weight > 0 else 1.0
-        fresh = entry.started > 0 and entry.started != server.started
-        if fresh or (server.state == State.GONE and entry.state == State.READY):
-            young = entry.started > 0 and self.now - entry.cold_since < self.cold_time(server)
+        fresh = entry.start_time > 0 and entry.start_time != server.started
+        if fresh or (server.state == ServerState.GONE and entry.state == ServerState.READY):
+            young = entry.start_time > 0 and self.now - entry.cold_since < self.cold_time(server)
             server.renew(entry.cold_since if young else 0)
             self.parts_due = 0
             if young and self.now < self.began + self.set.cold_window:
                 server.sent_cold.book(self.began, self.allowance(server))  # as the process before it did
-        server.started, server.state = entry.started, entry.state
-        if entry.state == State.GONE:
+        server.started, server.state = entry.start_time, entry.state
+        if entry.state == ServerState.GONE:
             self.gone.add(entry.server)
         else:
             self.gone.discard(entry.server)
-        return server.role != "sibling" and before != (server.state == State.GONE, server.weight)
+        return server.role != "sibling" and before != (server.state == ServerState.GONE, server.weight)
 
     def cold_time(self, server: Server) -> int:
-        return self.set.parent_cold_time if server.role == "parent" else self.set.cold_time
+        return self.set.parent_warm_up_time if server.role == "parent" else self.set.warm_up_time
 
     def warmth(self, server: Server) -> float:
         """Least part of its capacity that a server has by now: the climb is told nowhere, so the slowest."""
         if not server.warm_from or server.role == "origin":  # asked very often, and mostly this
             return 1.0
         age, whole = self.now - server.warm_from, self.cold_time(server)
-        least = self.set.parent_cold_from if server.role == "parent" else self.set.cold_from
+        least = self.set.parent_cold_initial_share if server.role == "parent" else self.set.cold_initial_share
         return least + (1.0 - least) * min(1.0, max(0, age) / whole)
 
     def own_capacity(self, server: Server) -> float:
@@ -176,9 +176,9 @@
         answers for this router. Never from what is asked: clients' repeats swell it (incident i341efe)."""
         parent = server.role == "parent"
         sharers = self.set.routers if parent else self.set.zone_routers
-        if self.set.nominal_weights:
+        if self.set.weights_are_nominal:
             return server.weight / max(1, sharers)
-        peers = sum(s.role == server.role and s.state == State.READY for s in self.servers.values())
+        peers = sum(s.role == server.role and s.state == ServerState.READY for s in self.servers.values())
         return (self.fills if parent else self.served).rate(self.now) / max(1, peers)
 
     def spread(self, obj: str, caches: int) -> int:
@@ -202,7 +202,7 @@
         """This router's share of the work that a cold server may be sent in one window."""
         warmth = self.warmth(server)
         multiple = self.set.parent_cold_multiple if server.role == "parent" else self.set.cold_multiple
-        part = COLD_PART if self.set.nominal_weights else COLD_PART_UNTOLD
+        part = COLD_PART if self.set.weights_are_nominal else COLD_PART_UNTOLD
         return part * multiple * warmth * self.own_capacity(server) * self.set.cold_window
 
     def book(self, server: Server, work: float) -> None:
@@ -266,7 +266,7 @@
         """Times of the usual answer that a cache needs for what is sent now: what it holds by its last report
         and what this router has there, less the part that waits for sources, over its link. Slowness speaks
         of what was sent before: it lets a rush in, and refuses at idle caches when that is over."""
-        if not server.reported or not self.set.nominal_weights or server.role != "cache":
+        if not server.reported or not self.set.weights_are_nominal or server.role != "cache":
             return self.slowness(server)
         others = server.others * math.exp((server.reported - self.now) / REPORT_SPAN)
         moving = max(0.0, 1.0 - server.waits / server.takes)
@@ -275,11 +275,11 @@
     # ---- Health of caches, parents and origin
     def usable(self, server: Server) -> bool:
         """Ready and believed up; a down one whose wait is over takes one request as its trial."""
-        if server.state != State.READY:
+        if server.state != ServerState.READY:
             return False
         if not server.down_until or server.role == "origin":
             return True
-        probed = self.set.probes and server.lost
+        probed = self.set.may_probe and server.lost
         return self.now >= server.down_until and not server.trial and not probed
 
     def fault(self, server: Server, lost: bool = False, quick: bool = False) -> None:
@@ -299,7 +299,7 @@
             self.actions.append(api.Log(f"{server.role} {server.id} down after {server.fails} failures"))
         server.hold = min(HOLD_MAX, max(PARENT_HOLD if server.role == "parent" else HOLD, 2 * server.hold))
         server.down_until, server.trial = self.now + server.hold, False
-        if self.set.probes and server.lost:
+        if self.set.may_probe and server.lost:
             self.later(server, server.hold)
         for attempt in list(server.out.values()):
             if server.lost and attempt.server is server:
@@ -337,24 +337,24 @@
 
     # ---- Purge bounds
     def on_purged(self, event: api.Purged) -> None:
-        if len(self.purged) > self.set.memo:
+        if len(self.purged) > self.set.max_tracked_objects:
             self.purged = {k: t for k, t in self.purged.items() if not self.cleared(t)}
         key = ("object", event.object) if event.object else ("group", event.group)
         self.purged[key] = max(self.purged.get(key, -(2**62)), self.now - event.age)
 
     def cleared(self, purged_at: int) -> bool:
-        return self.now - purged_at > self.set.purge_done + self.set.purge_grace
+        return self.now - purged_at > self.set.purge_duration + self.set.purge_grace
 
     def max_age(self, job: Job) -> int:
         """Rule 5: the oldest copy that will do, bounded by the time since a purge until none can be left.
         0 means 'no bound' to a cache, so a bound is at least 1."""
         cls, req = job.cls, job.req
-        age = cls.fresh + cls.grace if job.stale and cls.fresh and cls.grace else 0
+        age = cls.freshness_lifetime + cls.grace if job.stale and cls.freshness_lifetime and cls.grace else 0
         for key in (("object", req.object), ("group", req.group), ("group", None)):
             at = self.purged.get(key)
             if at is not None and not self.cleared(at):
                 bound = max(1, self.now - at - 1)
-                age = min(age or cls.fresh or bound, bound)
+                age = min(age or cls.freshness_lifetime or bound, bound)
         return age
 
     # ---- Admission
@@ -376,8 +376,8 @@
         for attempt in job.open.values():
             self.drop(attempt)
         cls = job.cls
-        if cls.effect is Effect.SAFE or not job.ran or (cls.effect is Effect.KEYED and cls.group == "all"):
-            back = min(self.set.max_come_back, 500 * MS) if self.set.come_back else 0
+        if cls.effect is Effect.SAFE or not job.ran or (cls.effect is Effect.KEYED and cls.dedup_by == "all"):
+            back = min(self.set.max_retry_after, 500 * MS) if self.set.sends_retry_after else 0
             self.actions.append(api.Refuse(job.req.id, back))
         else:
             self.actions.append(api.Fail(job.req.id))
@@ -397,7 +397,7 @@
     # ---- Choice of cache and source
     def choose_server(self, job: Job) -> Server | None:
         req, work = job.req, self.mean_of(job.req)
-        if job.cls.uncached and self.set.direct and self.origin and self.origin.id not in job.bad:
+        if job.cls.uncached and self.set.bypass_allowed and self.origin and self.origin.id not in job.bad:
             return self.origin if self.may_follow(job, self.origin) else None
         ranked = self.ranked("cache", req.object)
         spread = self.spread(req.object, len(self.members("cache"))) if req.object else 1
@@ -411,7 +411,7 @@
         for server in sorted(fit, key=self.crowding):  # each is out of its part: the least crowded
             if self.within_budget(server, work) and self.in_time(job, server):
                 return server
-        if self.set.direct and (not fit or self.slowness(self.inlet) <= HOT):
+        if self.set.bypass_allowed and (not fit or self.slowness(self.inlet) <= HOT):
             past = self.choose_source(job, 1.0, None)
             return past if past is not None and self.may_follow(job, past) else None
         return None
@@ -422,11 +422,11 @@
             return True
         if job.cls.effect is Effect.UNSAFE or job.ran_on is None:
             return False
-        if self.now - job.ran_at >= job.cls.repeat_window:
+        if self.now - job.ran_at >= job.cls.dedup_window:
             return False
-        if job.cls.group == "cell":
+        if job.cls.dedup_by == "cell":
             return server.cell == job.ran_on.cell
-        return job.cls.group == "all" or server.zone == job.ran_on.zone
+        return job.cls.dedup_by == "all" or server.zone == job.ran_on.zone
 
     def choose_source(self, job: Job, reach: float, server: Server | None) -> Server | None:
         """The listed parent, ready and believed up, with the highest hash; the origin when there is none.
@@ -446,7 +446,7 @@
         """Its object's parent, then others by a hash of object and part. One that is home to more than half
         its link or, while fills are late, than its link's share keeps that only. Guards against a hot object,
         whose fills jam one link: a router learns of that too late. Hurts by second copies at parents."""
-        name, told = f"{job.req.object}/{job.req.part}", self.set.nominal_weights
+        name, told = f"{job.req.object}/{job.req.part}", self.set.weights_are_nominal
         others, late = set(up[1:]), self.slowness(self.inlet) > COOL
         rest = [p for p in self.ranked("parent", name) if p in others]
         if not rest or not (late or told) or not up[0].home.since:
@@ -468,7 +468,7 @@
         cls = self.classes.get(req.cls) or api.ClassSettings(req.cls, req.time_left, req.time_left)
         job = Job(req, cls, self.now)
         if self.own_copy(job):
-            self.actions.append(api.Own(req.id))
+            self.actions.append(api.ServeOwnCopy(req.id))
             return
         self.jobs[req.id] = job
         job.stale = self.origin is not None and self.origin.full > FULL
@@ -490,13 +490,13 @@
         long as the own link, which sends in the order of the answers, is done well within the aim. What it
         takes spares the caches; past that they are quicker."""
         req, cls = job.req, job.cls
-        if req.own is None or self.set.own_transfers <= 0 or cls.uncached:
+        if req.own_copy_age is None or self.set.link_transfers <= 0 or cls.uncached:
             return False
-        oldest = self.max_age(job) or cls.fresh
-        if oldest and req.own > oldest - OWN_MARGIN:
+        oldest = self.max_age(job) or cls.freshness_lifetime
+        if oldest and req.own_copy_age > oldest - OWN_MARGIN:
             return False
-        work = self.work_of(req) * (CONFIRM if req.confirm else 1.0)
-        free = max(float(self.now), self.own_free) + work / self.set.own_transfers
+        work = self.work_of(req) * (CONFIRM if req.client_has_copy else 1.0)
+        free = max(float(self.now), self.own_free) + work / self.set.link_transfers
         within = min(OWN_PART * (cls.aim + cls.aim_stretch * work), job.due - self.now - LOOK_LEAST)
         if max(work, free - self.now) > within:
             return False
@@ -541,11 +541,11 @@
                 party.trial = True
         source_id = source.id if source is not None else server.id
         if cls.uncached and server.role != "cache":
-            self.actions.append(api.Ask(req.id, server.id, job.due - self.now))
+            self.actions.append(api.Forward(req.id, server.id, job.due - self.now))
         else:
             rank = 0 if not cached or cls.uncached else 2 if req.object in self.heat else 1  # 1: one-offs
-            renew = cls.fresh > 0 and cached
-            age, join = self.max_age(job), self.set.joins
+            renew = cls.freshness_lifetime > 0 and cached
+            age, join = self.max_age(job), self.set.may_join
             attempt.held = source is None or not (cls.uncached or self.from_origin(source, job, work))
             held = attempt.held and source is not None
             fields = (req.id, server.id, job.due - self.now, source_id, rank, age, join, held, renew)
@@ -566,10 +566,10 @@
                 self.actions.append(api.Subscribe())
             return
         if isinstance(attempt, Server):
-            if attempt.down_until and attempt.state == State.READY and not attempt.trial:
+            if attempt.down_until and attempt.state == ServerState.READY and not attempt.trial:
                 self.actions.append(api.Probe(attempt.id))
                 attempt.trial = True
-            elif attempt.down_until and attempt.state != State.GONE:
+            elif attempt.down_until and attempt.state != ServerState.GONE:
                 self.later(attempt, HOLD)
             return
         job = attempt.job
@@ -602,15 +602,15 @@
         if not stay or job.stayed:
             job.bad.add(attempt.server.id)
         job.stayed, attempt.moved = job.stayed or stay, True
-        if self.set.second_copies:
+        if self.set.may_hedge:
             self.retries -= 1.0
             self.attempt(job)
-        elif self.set.cancel:
+        elif self.set.may_cancel:
             self.actions.append(api.Cancel(job.req.id, attempt.no))
 
     def drop(self, attempt: Attempt) -> None:
         attempt.server.out.pop((attempt.job.req.id, attempt.no), None)
-        if self.set.cancel:
+        if self.set.may_cancel:
             self.actions.append(api.Cancel(attempt.job.req.id, attempt.no))
 
     def note_of(self, attempt: Attempt, event: api.Finished) -> int:
@@ -619,9 +619,9 @@
         into a late error: blamed for it, the sources would lose their objects for what caches do."""
         if event.note != Note.NONE or attempt.source is None or self.set.notes == "all":
             return event.note
-        if event.outcome is Outcome.FULL and event.took > 2 * self.set.tick:
+        if event.outcome is Outcome.FULL and event.duration > 2 * self.set.tick:
             return Note.SOURCE_REFUSED
-        return Note.SOURCE_LOST if event.outcome is Outcome.ERROR and event.took >= QUICK else Note.NONE
+        return Note.SOURCE_LOST if event.outcome is Outcome.ERROR and event.duration >= QUICK else Note.NONE
 
     def blame(self, attempt: Attempt, event: api.Finished, note: int) -> None:
         """Book a failure to the party it speaks of; where it speaks of none, to the one that was silent."""
@@ -639,7 +639,7 @@
                 self.fault(source, lost=True)
             else:  # it lives and was asked too much: no strike, or all its objects would move
                 self.crowded(source, LATE, full=True)
-        elif note == Note.NO_FILL_PLACE or (out is Outcome.FULL and note == Note.NONE):
+        elif note == Note.NO_FILL_CAPACITY or (out is Outcome.FULL and note == Note.NONE):
             self.crowded(server, LATE)
         elif out is Outcome.TIMED_OUT:
             silent = server if server.answered < attempt.sent else source
@@ -655,13 +655,13 @@
         attempt = job.open.pop(event.attempt, None) if job is not None else None
         if job is None or attempt is None:
             return
-        if event.load and "busy_reqs" in self.set.report:
-            held, there = event.load[self.set.report.index("busy_reqs")], attempt.server
+        if event.load and "busy_reqs" in self.set.load_report_fields:
+            held, there = event.load[self.set.load_report_fields.index("busy_reqs")], attempt.server
             if event.load != there.load or self.now - there.reported > REPORT_SPAN / 2:  # else it is old news
                 there.load, there.reported = event.load, self.now
                 there.others = max(0.0, held - len(there.out))
         attempt.server.waits += EWMA * (event.waited - attempt.server.waits)
-        attempt.server.takes += EWMA * (event.took - attempt.server.takes)
+        attempt.server.takes += EWMA * (event.duration - attempt.server.takes)
         out, note = event.outcome, self.note_of(attempt, event)
         self.note_fill(attempt, event)
         if out is Outcome.SERVED:
@@ -676,7 +676,7 @@
                     party.trial = False
         if out in api.NEVER_RAN and not job.open and attempt.first:  # of any attempt, not just the first
             job.ran = False
-        if event.over:
+        if event.request_done:
             for other in job.open.values():
                 self.drop(other)
             self.jobs.pop(event.id, None)
@@ -728,10 +728,10 @@
             self.book(attempt.source, attempt.work * (1.0 - attempt.miss))
 
     def learn(self, attempt: Attempt, event: api.Finished) -> None:
-        server, source, req, took = attempt.server, attempt.source, attempt.job.req, float(event.took)
+        server, source, req, took = attempt.server, attempt.source, attempt.job.req, float(event.duration)
         filled = event.note in (Note.FILLED, Note.FILLED_BY_ORIGIN)
         self.credit(server, attempt.sent)
-        if event.bare:
+        if event.not_modified:
             return
         self.served.add(self.now, self.mean_of(req))
         if filled and source is not None:
@@ -771,7 +771,7 @@
         for party, work in ((attempt.server, self.mean_of(job.req)), (attempt.source, attempt.work)):
             if party is None:
                 continue
-            if party.state != State.READY:
+            if party.state != ServerState.READY:
                 return None
             if self.warmth(party) < 1.0 and party not in attempt.booked:
                 if not self.within_budget(party, work):
@@ -801,12 +801,12 @@
                 job = self.jobs.pop(event.id, None)
                 for attempt in list(job.open.values()) if job else []:
                     self.drop(attempt)
-            case api.Listing():
+            case api.MembershipUpdate():
                 self.on_listing(event)
             case api.Purged():
                 self.on_purged(event)
             case api.Probed():
                 self.on_probed(event)
-            case api.Began():
+            case api.StreamStarted():
                 self.jobs.pop(event.id, None)
         return self.actions
--- a/onyxpulley/fields.py
+++ b/onyxpulley/fields.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def read(text: str) -> dict[str, str]:
+def parse(text: str) -> dict[str, str]:
     """Raises ValueError where a field has no name, no `=` or comes twice."""
     found: dict[str, str] = {}
     for pair in text.split(",") if text and text != "-" else ():
@@ -14,11 +14,11 @@
     return found
 
 
-def number(text: str, least: int, most: int) -> int:
+def parse_number(text: str, minimum: int, maximum: int) -> int:
     """A plain decimal number in bounds, nothing else that int() would take."""
     if not (text.isascii() and text.isdigit()) or len(text) > 19:
         raise ValueError(f"not a number: {text[:40]!r}")
     value = int(text)
-    if not least <= value <= most:
+    if not minimum <= value <= maximum:
         raise ValueError(f"out of bounds: {value}")
     return value
--- a/onyxpulley/incident/hooks.py
+++ b/onyxpulley/incident/hooks.py
@@ -6,16 +6,16 @@
 
 from onyxpulley.bulletin import Bulletin
 from onyxpulley.core import Exchange
-from onyxpulley.facade import Facade, Member
+from onyxpulley.decision_adapter import DecisionAdapter, Member
 from onyxpulley.incident.records import Kind
 from onyxpulley.incident.tally import Tally
 
 
-def attach(tally: Tally, exchange: Exchange, bulletin: Bulletin, facade: Facade) -> None:
-    fields = facade.report_fields
+def attach(tally: Tally, exchange: Exchange, bulletin: Bulletin, facade: DecisionAdapter) -> None:
+    fields = facade.load_fields
     tally.load_at = fields.index("busy_reqs") if "busy_reqs" in fields else -1
-    exchange.seen = tally
-    say, decided = bulletin.say, facade.say
+    exchange.observer = tally
+    say, decided = bulletin.say, facade.log
 
     def listed(full: bool, members: Sequence[Member]) -> None:
         for m in members:
@@ -37,4 +37,4 @@
 
     bulletin.listed, bulletin.purged, bulletin.say = listed, purged, news
     bulletin.ledger.say = news
-    facade.say = log
+    facade.log = log
--- a/onyxpulley/interface.py
+++ b/onyxpulley/interface.py
@@ -41,8 +41,8 @@
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_LOST = 7
-    SOURCE_LACKS = 8
-    NO_FILL_PLACE = 9
+    SOURCE_MISS = 8
+    NO_FILL_CAPACITY = 9
     ORIGIN_FAILED = 10
 
 
@@ -54,13 +54,13 @@
     UNSAFE = "unsafe"
 
 
-class State(IntEnum):
+class ServerState(IntEnum):
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(Enum):
+class UpdateKind(Enum):
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
@@ -78,10 +78,10 @@
     worth: float = 1.0
     late_share: float = 0.0
     effect: Effect = Effect.UNSAFE
-    group: str = "all"  # keyed: who drops repeats: "all", "zone" or "cell"
-    repeat_window: int = 0
-    stream: bool = False
-    fresh: int = 0  # 0: a copy is good until purged
+    dedup_by: str = "all"  # keyed: who drops repeats: "all", "zone" or "cell"
+    dedup_window: int = 0
+    streamed: bool = False
+    freshness_lifetime: int = 0  # 0: a copy is good until purged
     grace: int = 0
     stale_worth: float = 0.0
     uncached: bool = False
@@ -94,68 +94,70 @@
     zone: str
     classes: tuple[ClassSettings, ...]
     zones: tuple[str, ...] = ()
-    me: int = 0
+    router_index: int = 0
     routers: int = 1
     tick: int = 1000
     parent_kind: str | None = None
     origin_kind: str | None = None
     zone_routers: int = 1  # routers of this router's own location
-    zone_hub: tuple[int, ...] = ()
-    direct: bool = False
-    joins: bool = False
-    siblings: str = "none"  # "none", "location" or "any"
+    zone_hubs: tuple[int, ...] = ()
+    bypass_allowed: bool = False
+    may_join: bool = False
+    sibling_scope: str = "none"  # "none", "location" or "any"
     notes: str = "none"  # "all", "hit" or "none"
     flow_kb_per_s: float = 0.0
-    nominal_weights: bool = False
+    weights_are_nominal: bool = False
     subscribe: bool = False
     must_ask_in: int = 0
-    probes: bool = False
-    cancel: bool = False
-    second_copies: bool = False
-    come_back: bool = False
-    max_come_back: int = 0
+    may_probe: bool = False
+    may_cancel: bool = False
+    may_hedge: bool = False
+    sends_retry_after: bool = False
+    max_retry_after: int = 0
     max_attempts: int = 3
     drain_grace: int = 0
     answer_grace: int = 0
-    cold_from: float = 0.1
-    cold_time: int = 30_000_000
+    cold_initial_share: float = 0.1
+    warm_up_time: int = 30_000_000
     cold_multiple: float = 2.0
     cold_window: int = 2_000_000
-    parent_cold_from: float = 0.1
-    parent_cold_time: int = 30_000_000
+    parent_cold_initial_share: float = 0.1
+    parent_warm_up_time: int = 30_000_000
     parent_cold_multiple: float = 2.0
     purge_grace: int = 0
-    purge_done: int = 10_000_000
-    report: tuple[str, ...] = ()
-    memo: int = 40_000  # entries of each table of objects: rankings, what was asked for, learned sizes
-    own_transfers: float = 0.0  # at full pace, that fit on this router's own link; 0: it keeps no copies
+    purge_duration: int = 10_000_000
+    load_report_fields: tuple[str, ...] = ()
+    max_tracked_objects: int = (
+        40_000  # entries of each table of objects: rankings, what was asked for, learned sizes
+    )
+    link_transfers: float = 0.0  # at full pace, that fit on this router's own link; 0: it keeps no copies
 
 
 # Events
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ServerEntry:
     """One server of the list: an edge cache, a parent or the origin, by its kind."""
 
     server: str
     zone: str
     kind: str
     cell: int = 0
-    state: State = State.READY
+    state: ServerState = ServerState.READY
     weight: float = 1.0
-    started: int = 0  # which start of it this is: a later one has another number; 0: long ago
-    since: int | None = None  # when that was on the events' clock, at the latest; else `started`
+    start_time: int = 0  # which start of it this is: a later one has another number; 0: long ago
+    latest_start: int | None = None  # when that was on the events' clock, at the latest; else `started`
 
     @property
     def cold_since(self) -> int:
-        return self.started if self.since is None else self.since
+        return self.start_time if self.latest_start is None else self.latest_start
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
-    kind: ListKind
-    entries: tuple[Entry, ...] = ()
+class MembershipUpdate:
+    kind: UpdateKind
+    entries: tuple[ServerEntry, ...] = ()
     version: int = 0
 
 
@@ -168,15 +170,15 @@
     group: int | None = None
     size_kb: float = 0.0
     part: int = 0
-    write: bool = False
-    repeat: bool = False
+    is_write: bool = False
+    is_repeat: bool = False
     tenant: str | None = None
-    own: int | None = None  # age of the copy that this router holds itself
-    confirm: bool = False  # that copy is the client's too: no bytes are needed
+    own_copy_age: int | None = None  # age of the copy that this router holds itself
+    client_has_copy: bool = False  # that copy is the client's too: no bytes are needed
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class StreamStarted:
     """A streamed answer has started: it belongs to the client now."""
 
     id: str
@@ -191,12 +193,14 @@
     attempt: int
     server: str
     outcome: Outcome
-    took: int = 0
-    over: bool = False
+    duration: int = 0
+    request_done: bool = False
     note: int = Note.NONE
     waited: int = 0
     load: tuple[float, ...] = ()
-    bare: bool = False  # the client's own copy was confirmed: no bytes came, so its time tells no pace
+    not_modified: bool = (
+        False  # the client's own copy was confirmed: no bytes came, so its time tells no pace
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -213,7 +217,7 @@
 class Probed:
     server: str
     outcome: Outcome
-    took: int = 0
+    duration: int = 0
     load: tuple[float, ...] = ()
 
 
@@ -226,19 +230,19 @@
     object: str | None = None
 
 
-Event = Listing | Request | Began | Finished | ClientGone | TimerDue | Probed | Purged
+Event = MembershipUpdate | Request | StreamStarted | Finished | ClientGone | TimerDue | Probed | Purged
 
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class Forward:
     """An attempt that takes only what the server holds."""
 
     id: str
     server: str
-    time_out: int
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -247,17 +251,17 @@
 
     id: str
     server: str
-    time_out: int
+    timeout: int
     source: str
-    rank: int = 0
+    retention_rank: int = 0
     max_age: int = 0
-    join: bool = False
-    only_held: bool = False
-    renew: bool = False
+    may_join: bool = False
+    only_if_cached: bool = False
+    refresh_in_background: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class ServeOwnCopy:
     """Serve the router's own copy."""
 
     id: str
@@ -266,7 +270,7 @@
 @dataclass(frozen=True, slots=True)
 class Refuse:
     id: str
-    come_back: int = 0
+    retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -301,4 +305,4 @@
     text: str
 
 
-Action = Ask | Fetch | Own | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | Log
+Action = Forward | Fetch | ServeOwnCopy | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | Log
--- a/onyxpulley/news.py
+++ b/onyxpulley/news.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from onyxpulley import fields
-from onyxpulley.facade import STATES, Member
+from onyxpulley.decision_adapter import SERVER_STATES, Member
 
 UID = re.compile(r"[!-+\--~]{1,128}")
 BAD = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
@@ -51,13 +51,13 @@
 
 
 def member(row: dict[str, Any]) -> Member:
-    if row["state"] not in STATES:
+    if row["state"] not in SERVER_STATES:
         raise ValueError(f"unknown state {str(row['state'])[:40]!r}")
     endpoint, weight = str(row["endpoint"]), float(row.get("capacity_hint") or 1.0)
     host, _, port = endpoint.rpartition(":")
     if not host:
         raise ValueError("endpoint without a host")
-    fields.number(port, 1, 65535)
+    fields.parse_number(port, 1, 65535)
     if not UID.fullmatch(str(row["uid"])):
         raise ValueError("an id that no wire can carry")
     if not math.isfinite(weight):
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -20,9 +20,9 @@
 from onyxpulley.clients import Clients
 from onyxpulley.clock import monotonic, now_us
 from onyxpulley.console import Console, Figure
-from onyxpulley.copies import Copies
+from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Exchange, Verdict
-from onyxpulley.facade import Facade
+from onyxpulley.decision_adapter import DecisionAdapter
 from onyxpulley.listeners import FIRST, Listener, make_room
 from onyxpulley.news import BAD, UP
 from onyxpulley.servers import Servers
@@ -64,15 +64,15 @@
         self.conf, self.phase, self.operator = conf, Phase.STARTING, operator
         if operator is not None:
             conf.limits.signature_boxes = operator.boxes
-        self.facade = Facade(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
+        self.facade = DecisionAdapter(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
         self.servers = Servers(conf.limits)
-        self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copies))
-        self.servers.exchange, self.servers.saw_copy = self.exchange, self.facade.platform.saw_copy
+        self.exchange = Exchange(self.facade, self.servers, conf.limits, CopyStore(conf.limits.copies))
+        self.servers.exchange, self.servers.saw_copy = self.exchange, self.facade.platform_clock.saw_copy
         self.bulletin = Bulletin(
             conf.bulletin, conf.seed, conf.limits.line, self.facade, self.exchange, self.servers
         )
         self.exchange.read_pending = self.bulletin.read_pending
-        self.clients = Clients(self.exchange, self.facade.classes, conf.limits)
+        self.clients = Clients(self.exchange, self.facade.class_names, conf.limits)
         self.term = asyncio.Event()
         self.fronts: list[Front] = []
         self.console = Console(lambda: self.clients.fit, self.figures, self.pause, self.resume)
@@ -87,7 +87,7 @@
 
     def enter(self, phase: Phase) -> None:
         self.phase = phase
-        cold = self.facade.settings.cold_time / 1e6 if phase is Phase.STARTING else 0.0
+        cold = self.facade.settings.warm_up_time / 1e6 if phase is Phase.STARTING else 0.0
         self.note("phase", phase.value, cold)
         self.clients.fit = self.fit()
         logs.say(f"{self.conf.name}: {phase.value}")
@@ -190,8 +190,8 @@
         new.limits.signature_boxes = old.limits.signature_boxes  # of the operator's file
         old.limits.take(new.limits)
         new.limits, self.conf = old.limits, new
-        self.exchange.copies.shrink(new.limits.copies)
-        self.clients.classes = self.facade.classes
+        self.exchange.copies.resize(new.limits.copies)
+        self.clients.classes = self.facade.class_names
         self.bulletin.move(new.bulletin)
         self.reloads["applied"] += 1
         self.note("reload", "applied")
@@ -217,9 +217,9 @@
         return "" if self.phase is Phase.SERVING else f"it is {self.phase.value}"
 
     def figures(self) -> list[Figure]:
-        answers, (known, avoided) = self.exchange.answers, self.facade.listed()
+        answers, (known, avoided) = self.exchange.answer_counts, self.facade.server_counts()
         rows: list[Figure] = []
-        for cls in sorted({*self.facade.classes, *(cls for cls, _ in answers)}):
+        for cls in sorted({*self.facade.class_names, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
             rows += [
                 (f"succeeded.{cls}", answers[cls, Verdict.SERVED], "c"),
@@ -229,7 +229,7 @@
         return [
             *rows,
             ("forwards", self.servers.forwards, "c"),
-            ("outstanding", len(self.exchange.open), "g"),
+            ("outstanding", len(self.exchange.open_requests), "g"),
             ("discovered", known, "g"),
             ("ejected", avoided, "g"),
             ("sighup_applied", self.reloads["applied"], "c"),
@@ -329,10 +329,10 @@
             "phase": self.phase.value,
             "bulletin": self.bulletin.no,
             "servers": len(self.servers.pools),
-            "open": len(self.exchange.open),
-            "copies": len(self.exchange.copies.all),
+            "open": len(self.exchange.open_requests),
+            "copies": len(self.exchange.copies.entries),
             "answers": {
-                verdict.value: sum(n for (_, v), n in self.exchange.answers.items() if v is verdict)
+                verdict.value: sum(n for (_, v), n in self.exchange.answer_counts.items() if v is verdict)
                 for verdict in Verdict
             },
         }
@@ -372,7 +372,7 @@
         last_answers = start + self.conf.limits.drain
         while not self.quiet() and monotonic() < last_answers + FLUSH:
             if monotonic() > last_answers:
-                self.exchange.end()
+                self.exchange.finish_all()
             self._retreat()
             await asyncio.sleep(DRAIN_POLL)
 
--- a/onyxpulley/server_state.py
+++ b/onyxpulley/server_state.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpulley import interface as api
-from onyxpulley.interface import State
+from onyxpulley.interface import ServerState
 from onyxpulley.memo import Flow
 from onyxpulley.slow_start import WorkWindow
 
@@ -18,9 +18,9 @@
 class Server:
     """What this router knows of one edge cache, parent or origin."""
 
-    def __init__(self, entry: api.Entry, role: str) -> None:
+    def __init__(self, entry: api.ServerEntry, role: str) -> None:
         self.id, self.zone, self.role, self.cell = entry.server, entry.zone, role, entry.cell
-        self.weight, self.state, self.started = entry.weight, State.GONE, 0
+        self.weight, self.state, self.started = entry.weight, ServerState.GONE, 0
         self.out: dict[tuple[str, int], Attempt] = {}
         self.sent_cold = WorkWindow()
         self.renew(0)
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -11,7 +11,7 @@
 from onyxpulley import fields, logs, metrics
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import now_us
-from onyxpulley.core import Attempt, Exchange, Outcome, Report
+from onyxpulley.core import Attempt, AttemptResult, Exchange, Outcome
 from onyxpulley.streams import close_quietly
 from onyxpulley.system_calls import Meaning, meaning_of, next_pause
 from onyxpulley.wires import Listed, Trust, Wire
@@ -71,7 +71,7 @@
         return bool(self.out or self.waiting) or now - self.used < idle
 
     def used_first(self) -> int:
-        return next(iter(self.out.values())).begun
+        return next(iter(self.out.values())).started_at
 
     def takes(self) -> bool:
         return self.wire is None or self.wire.takes()
@@ -86,8 +86,8 @@
 
     def alone(self) -> bool:
         """Carries what must not run twice, which no other's spoilt answer shall end."""
-        return any(a.once for a in self.out.values()) or any(
-            isinstance(w, Attempt) and w.once for w in self.waiting
+        return any(a.at_most_once for a in self.out.values()) or any(
+            isinstance(w, Attempt) and w.at_most_once for w in self.waiting
         )
 
     def give_up(self, attempt: Attempt) -> None:
@@ -95,7 +95,7 @@
         txn = attempt.request.txn
         del self.out[txn]
         self.left.append(txn)
-        silent = now_us() - max(self.heard, attempt.begun) > self.pool.servers.silence()
+        silent = now_us() - max(self.heard, attempt.started_at) > self.pool.servers.silence()
         self.stuck = self.stuck or silent
         self.push(b"abort %s\r\n" % txn.encode())
 
@@ -155,7 +155,7 @@
             self.up, self.heard = True, now_us()
             self.tasks.add(asyncio.create_task(self._write(wire)))
             while True:
-                got = await wire.receive_into(self.buffer.room())
+                got = await wire.receive_into(self.buffer.free_space())
                 if not got:
                     return
                 self.heard, self.stuck = now_us(), False
@@ -206,7 +206,7 @@
             await wire.writable()
             return
         self.out[attempt.request.txn] = attempt
-        self.pool.exchange.begun(attempt)
+        self.pool.exchange.write_started(attempt)
         await wire.send_all(memoryview(data)[sent:])
         self.pool.servers.forwards += 1
 
@@ -215,30 +215,33 @@
         if not self.takes():  # who the server was shown to be no longer holds: another one is made, or none
             self.pool.again(what, Outcome.BROKEN)
             return b""
-        if not self.pool.exchange.clear(what):
+        if not self.pool.exchange.check_before_write(what):
             return b""
         request = what.request
-        limit = max(1, (what.until - now_us()) // 1000)
-        text = f"fetch {request.txn} cls={request.cls},item={request.item},chunk={request.part},limit={limit}"
+        limit = max(1, (what.deadline - now_us()) // 1000)
+        text = (
+            f"fetch {request.txn} cls={request.cls},item={request.object_id},"
+            f"chunk={request.part},limit={limit}"
+        )
         if what.source is not None:
             text += f",fetch={what.source}"
-        if what.rank:
-            text += f",retain={what.rank}"
-        if what.newer:
-            text += f",newer={max(1, what.newer // 1000)}"
+        if what.retention_rank:
+            text += f",retain={what.retention_rank}"
+        if what.max_age:
+            text += f",newer={max(1, what.max_age // 1000)}"
         manner = [
             word
             for word, wanted in (
-                ("wait-for", what.join),
-                ("no-fetch", what.only_held),
-                ("background", what.renew),
+                ("wait-for", what.may_join),
+                ("no-fetch", what.only_if_cached),
+                ("background", what.refresh_in_background),
             )
             if wanted
         ]
         if manner:
             text += f",handle={'+'.join(manner)}"
-        if request.have:
-            text += f",holds={request.have}"
+        if request.client_tag:
+            text += f",holds={request.client_tag}"
         if request.signature and self.pool.wants_signature:
             text += f",signature={request.signature}"
         return b"%s %d\r\n%s\r\n" % (text.encode(), len(request.body), request.body)
@@ -255,7 +258,7 @@
             after = at + 2
             if len(words) != 4 or words[1] not in OUTCOMES:
                 raise ValueError(f"no answer: {len(words)} words, {words[1:2]}")
-            size = fields.number(words[3], 0, LONGEST)
+            size = fields.parse_number(words[3], 0, LONGEST)
             if buffer.end < after + size + 2:
                 return
             body = bytes(memoryview(buffer.data)[after : after + size])
@@ -270,19 +273,19 @@
         self.used = now_us()
         if words[0] not in self.out:
             return  # given up meanwhile, a second copy, or an id that is none of ours
-        report = Report(OUTCOMES[words[1]], body=body, same=words[1] == "unchanged")
-        row = fields.read(words[2])
+        report = AttemptResult(OUTCOMES[words[1]], body=body, not_modified=words[1] == "unchanged")
+        row = fields.parse(words[2])
         report.tag = row.get("version", "")
         if not (report.tag.isalnum() or not report.tag):
             raise ValueError("bad tag of a copy")
         report.note = NOTES.get(row.get("tell", ""), 0)
         report.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
-        report.stamp = fields.number(row.get("stamp", "0"), 0, 2**53)
-        self.pool.servers.saw_copy(report.stamp)
+        report.issued_ms = fields.parse_number(row.get("stamp", "0"), 0, 2**53)
+        self.pool.servers.saw_copy(report.issued_ms)
         if "meter" in row:
             report.load = self.pool.read_load(row["meter"])
         attempt = self.out.pop(words[0])
-        self.pool.servers.answered(self.used - attempt.begun)
+        self.pool.servers.answered(self.used - attempt.started_at)
         self.pool.exchange.finish(attempt, report)
 
     def close(self, why: Outcome) -> None:
@@ -310,7 +313,7 @@
         self.out.clear()
         self.waiting.clear()
         for attempt in out:
-            self.pool.exchange.finish(attempt, Report(why))
+            self.pool.exchange.finish(attempt, AttemptResult(why))
         for what in waiting:
             if isinstance(what, Attempt):
                 self.pool.again(what, why)
@@ -348,7 +351,7 @@
         ]
         free = [connection for connection in fit if not connection.alone()]
         best = min(free, key=ServerConnection.load, default=None)
-        if best is None or best.load() >= (1 if attempt.once else SHARED):
+        if best is None or best.load() >= (1 if attempt.at_most_once else SHARED):
             if now - self.most_at > MOST_FOR:
                 self.most = MOST_CONNECTIONS  # it took no more connections then; it may now
             lacking = bool(fit) and now - self.lacked_at < LACKING_FOR
@@ -360,7 +363,7 @@
             best = min(fit, key=ServerConnection.load, default=None)
         if best is None:  # whatever is out on a silent one would end with it, so it is not closed
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.exchange.finish, attempt, Report(Outcome.FULL))
+            loop.call_soon(self.exchange.finish, attempt, AttemptResult(Outcome.FULL))
             return
         best.push(attempt)
 
@@ -381,20 +384,20 @@
         """Its connection never came up, or ended before it was written: nothing ran."""
         if attempt.ended:
             return
-        attempt.waits += 1
+        attempt.failed_connections += 1
         others = self.others()
         if why is Outcome.NOT_CONNECTED:
             if others:
                 min(others, key=ServerConnection.load).push(attempt)
             else:
-                self.exchange.finish(attempt, Report(why))
+                self.exchange.finish(attempt, AttemptResult(why))
             return
         if why is Outcome.UNREACHABLE and others:
             self.most, self.most_at = max(1, len(self.connections)), now_us()  # it accepts no more
-        if attempt.waits < TRIES and (why is Outcome.BROKEN or others):
+        if attempt.failed_connections < TRIES and (why is Outcome.BROKEN or others):
             self.servers.send(attempt)
             return
-        self.exchange.finish(attempt, Report(Outcome.UNREACHABLE))
+        self.exchange.finish(attempt, AttemptResult(Outcome.UNREACHABLE))
 
     def close(self) -> None:
         for connection in list(self.connections):
@@ -451,7 +454,7 @@
         pool = self.pools.get(attempt.server)
         if pool is None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.exchange.finish, attempt, Report(Outcome.UNREACHABLE))
+            loop.call_soon(self.exchange.finish, attempt, AttemptResult(Outcome.UNREACHABLE))
             return
         pool.send(attempt)
 
--- a/onyxpulley/signed.py
+++ b/onyxpulley/signed.py
@@ -25,7 +25,7 @@
 from onyxpulley.tenants import Denied, Tenant, Tenants, split_package
 
 if TYPE_CHECKING:
-    from onyxpulley.facade import Facade
+    from onyxpulley.decision_adapter import DecisionAdapter
     from onyxpulley.spiffe.peers import Bond
     from onyxpulley.spiffe.trust import Keeper
 
@@ -38,7 +38,7 @@
     """Checks who may ask for what; the core does the rest."""
 
     def __init__(
-        self, public: str, tenants: Tenants, exchange: Exchange, facade: Facade, forward: bool
+        self, public: str, tenants: Tenants, exchange: Exchange, facade: DecisionAdapter, forward: bool
     ) -> None:
         self.public, self.tenants = public.rstrip("/"), tenants
         self.exchange, self.facade, self.forward = exchange, facade, forward
@@ -92,7 +92,7 @@
         if call.method not in self.methods(request.cls):
             allow = ", ".join(self.methods(request.cls))
             return told(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method", "ran": "no"}, Allow=allow)
-        once = bool(grant.jti) and not self.facade.safe(request.cls)
+        once = bool(grant.jti) and not self.facade.is_safe(request.cls)
         if once and grant.jti in tenant.usage.seen:
             return self.denied(Denied("the token was used"), "unknown")
         wait = tenant.admit(monotonic())
@@ -108,24 +108,24 @@
         def permitted() -> bool:
             """Checked anew before every attempt: time, key and tenant may have changed."""
             try:
-                return self.tenants.verify(name, token, url).tenant.owns(request.item)
+                return self.tenants.verify(name, token, url).tenant.owns(request.object_id)
             except Denied:
                 return False
 
-        request.permitted = permitted
+        request.check_permission = permitted
         request.signature = token if self.forward else ""
         response = await self.carry(request, tenant)
-        if once and response.status is not HTTPStatus.OK and not request.maybe_ran:
+        if once and response.status is not HTTPStatus.OK and not request.may_have_run:
             tenant.usage.seen.pop(grant.jti, None)  # it never ran: the token is good for another try
         return response
 
     def methods(self, cls: str) -> tuple[str, ...]:
-        return ("GET",) if self.facade.safe(cls) else ("POST",)
+        return ("GET",) if self.facade.is_safe(cls) else ("POST",)
 
     def request(self, call: Call, where: re.Match[str], query: str, tenant: Tenant) -> Request:
         """Raises ValueError on what cannot be asked for, Denied on what is another tenant's."""
         _, cls, item, part = where.groups()
-        if cls not in self.facade.classes:
+        if cls not in self.facade.class_names:
             raise ValueError("unknown class")
         if not tenant.owns(item):
             raise Denied("the object is not this tenant's", "insufficient_scope")
@@ -140,21 +140,21 @@
             raise ValueError("bad kb")
         limit = self.facade.deadline_ms(cls)
         if "x-deadline-ms" in call.headers:
-            limit = min(limit, fields.number(call.headers["x-deadline-ms"], 1, 3_600_000))
+            limit = min(limit, fields.parse_number(call.headers["x-deadline-ms"], 1, 3_600_000))
         tag = ETAG.fullmatch(call.headers.get("if-none-match", ""))
         return Request(
             txn=secrets.token_hex(8),
             cls=cls,
-            item=item,
-            due=call.arrived + 1000 * limit,
+            object_id=item,
+            deadline=call.arrived + 1000 * limit,
             reply=_nobody,
             part=int(part),
-            group=fields.number(row["group"], 0, 255),
+            group=fields.parse_number(row["group"], 0, 255),
             size_kb=size,
             body=call.body,
-            have=tag[1] if tag else "",
+            client_tag=tag[1] if tag else "",
             tenant=tenant.name,
-            out_of_touch=call.out_of_touch,
+            client_may_have_left=call.out_of_touch,
         )
 
     async def carry(self, request: Request, tenant: Tenant) -> Response:
@@ -169,10 +169,10 @@
         usage = tenant.usage
         usage.open += 1
         try:
-            self.exchange.take(request)
+            self.exchange.submit(request)
             answer = await answered
         except asyncio.CancelledError:
-            self.exchange.left(request)
+            self.exchange.client_left(request)
             usage.count("left")
             raise
         finally:
@@ -185,19 +185,19 @@
         match answer.verdict:
             case Verdict.SERVED:
                 headers = {"ETag": f'"{answer.tag}"'} if answer.tag else {}
-                if answer.same:
+                if answer.not_modified:
                     return Response(HTTPStatus.NOT_MODIFIED, b"", headers)
                 return Response(
                     HTTPStatus.OK, answer.body, {"Content-Type": "application/octet-stream", **headers}
                 )
             case Verdict.REFUSED:
-                retry = str(max(1, math.ceil(answer.later / 1000)))
-                row = {"error": "refused", "ran": ran if not self.facade.safe(request.cls) else "harmless"}
+                retry = str(max(1, math.ceil(answer.retry_after_ms / 1000)))
+                row = {"error": "refused", "ran": ran if not self.facade.is_safe(request.cls) else "harmless"}
                 return told(HTTPStatus.SERVICE_UNAVAILABLE, row, Retry_After=retry)
             case Verdict.EXPIRED:
                 return self.denied(Denied("no longer valid"), ran)
             case Verdict.FAILED:
-                late = now_us() >= request.due - 10_000
+                late = now_us() >= request.deadline - 10_000
                 status = HTTPStatus.GATEWAY_TIMEOUT if late else HTTPStatus.BAD_GATEWAY
                 return told(status, {"error": "failed", "ran": ran})
 
--- a/onyxpulley/drill.py
+++ b/onyxpulley/simulator_adapter.py
@@ -9,7 +9,7 @@
 
 from onyxpulley import interface as api
 from onyxpulley.control import Router
-from onyxpulley.settings import Json, at, get, read_settings
+from onyxpulley.settings import Json, get_or_default, item_or_default, read_settings
 
 OUTCOMES = {
     "done": api.Outcome.SERVED,
@@ -23,34 +23,34 @@
     "enoent": api.Outcome.MISS,
 }
 LIST_KINDS = {
-    1: api.ListKind.CHANGES,
-    4: api.ListKind.FULL,
-    2: api.ListKind.CACHED,
-    3: api.ListKind.FAILED,
+    1: api.UpdateKind.CHANGES,
+    4: api.UpdateKind.FULL,
+    2: api.UpdateKind.CACHED,
+    3: api.UpdateKind.FAILED,
 }
 
 
-class Malformed(Exception):
+class MalformedLine(Exception):
     """A line that is not what the wire promises."""
 
 
-def _entry(row: Json) -> api.Entry:
-    return api.Entry(
+def _entry(row: Json) -> api.ServerEntry:
+    return api.ServerEntry(
         server=str(row["server"]),
-        zone=str(get(row, "regionPart", "")),
-        kind=str(get(row, "classOfHost", "")),
-        cell=int(get(row, "pod", 0)),
-        state=api.State(row["readiness"]),
-        weight=float(get(row, "capacityHint", 1.0)),
-        started=int(get(row, "since", 0)),
+        zone=str(get_or_default(row, "regionPart", "")),
+        kind=str(get_or_default(row, "classOfHost", "")),
+        cell=int(get_or_default(row, "pod", 0)),
+        state=api.ServerState(row["readiness"]),
+        weight=float(get_or_default(row, "capacityHint", 1.0)),
+        start_time=int(get_or_default(row, "since", 0)),
     )
 
 
 def _load(item: Json) -> tuple[float, ...]:
-    return tuple(float(at([v], 0, 0.0)) for v in get(item, "serverStats", []))
+    return tuple(float(item_or_default([v], 0, 0.0)) for v in get_or_default(item, "serverStats", []))
 
 
-def read_event(item: Json) -> api.Event | None:
+def decode_event(item: Json) -> api.Event | None:
     """One event, or None for a kind that is not known."""
     match item["op"]:
         case "newRequest":
@@ -58,25 +58,25 @@
             return api.Request(
                 id=item["ref"],
                 cls=str(item["service"]),
-                object=str(get(item, "asset", "")),
+                object=str(get_or_default(item, "asset", "")),
                 time_left=int(item["timeLeft"]),
                 group=None if group is None else int(group),
-                size_kb=float(get(item, "kbytes", 0)),
-                part=int(get(item, "chunk", 0)),
-                write=bool(get(item, "update", False)),
-                repeat=bool(get(item, "resent", False)),
+                size_kb=float(get_or_default(item, "kbytes", 0)),
+                part=int(get_or_default(item, "chunk", 0)),
+                is_write=bool(get_or_default(item, "update", False)),
+                is_repeat=bool(get_or_default(item, "resent", False)),
                 tenant=item.get("owner"),
             )
         case "returned":
             return api.Finished(
                 id=item["ref"],
-                attempt=int(get(item, "roundNo", 0)),
+                attempt=int(get_or_default(item, "roundNo", 0)),
                 server=str(item["server"]),
                 outcome=OUTCOMES[item["reason"]],
-                took=int(get(item, "timeTaken", 0)),
-                over=bool(get(item, "over", False)),
-                note=int(get(item, "info", 0)),
-                waited=int(get(item, "sourceWait", 0)),
+                duration=int(get_or_default(item, "timeTaken", 0)),
+                request_done=bool(get_or_default(item, "over", False)),
+                note=int(get_or_default(item, "info", 0)),
+                waited=int(get_or_default(item, "sourceWait", 0)),
                 load=_load(item),
             )
         case "ring":
@@ -84,48 +84,50 @@
         case "lapsed":
             return api.ClientGone(item["ref"])
         case "announce":
-            rows = get(item, "membersList", [])
-            version = int(get(item, "stamp", 0))
-            return api.Listing(LIST_KINDS[item["scope"]], tuple(_entry(r) for r in rows), version)
+            rows = get_or_default(item, "membersList", [])
+            version = int(get_or_default(item, "stamp", 0))
+            return api.MembershipUpdate(LIST_KINDS[item["scope"]], tuple(_entry(r) for r in rows), version)
         case "recalled":
             group = item.get("familyId")
             group = None if group is None else int(group)
-            return api.Purged(group, int(get(item, "copyAge", 0)), item.get("asset"))
+            return api.Purged(group, int(get_or_default(item, "copyAge", 0)), item.get("asset"))
         case "probeResult":
             outcome = OUTCOMES[item["reason"]]
-            return api.Probed(str(item["server"]), outcome, int(get(item, "timeTaken", 0)), _load(item))
+            return api.Probed(
+                str(item["server"]), outcome, int(get_or_default(item, "timeTaken", 0)), _load(item)
+            )
         case "underWay":
-            return api.Began(item["ref"], int(get(item, "roundNo", 0)))
+            return api.StreamStarted(item["ref"], int(get_or_default(item, "roundNo", 0)))
     return None
 
 
-def write_action(instance: int, action: api.Action) -> Json:
+def encode_action(instance: int, action: api.Action) -> Json:
     match action:
         case api.Fetch():
-            manner = action.join * 1 + action.only_held * 2 + action.renew * 8
+            manner = action.may_join * 1 + action.only_if_cached * 2 + action.refresh_in_background * 8
             return {
                 "op": "pullVia",
                 "i": instance,
                 "ref": action.id,
                 "server": action.server,
-                "tryFor": action.time_out,
+                "tryFor": action.timeout,
                 "feeder": action.source,
-                "storeAs": action.rank,
+                "storeAs": action.retention_rank,
                 "copyAge": action.max_age,
                 "manner": manner,
             }
-        case api.Ask():
+        case api.Forward():
             return {
                 "op": "transmit",
                 "i": instance,
                 "ref": action.id,
                 "server": action.server,
-                "tryFor": action.time_out,
+                "tryFor": action.timeout,
             }
-        case api.Own():
+        case api.ServeOwnCopy():
             raise ValueError("the simulator's routers keep no copies of their own")
         case api.Refuse():
-            return {"op": "overloadReply", "i": instance, "ref": action.id, "comeBack": action.come_back}
+            return {"op": "overloadReply", "i": instance, "ref": action.id, "comeBack": action.retry_after}
         case api.Fail():
             return {"op": "error", "i": instance, "ref": action.id}
         case api.Cancel():
@@ -140,26 +142,26 @@
             return {"op": "noteDown", "i": instance, "words": action.text}
 
 
-class Drill:
+class SimulatorAdapter:
     """All instances of one process, each a Router of its own."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
-    def batch(self, line: str) -> str:
+    def process_line(self, line: str) -> str:
         try:
             frame = json.loads(line)
             now = int(frame["t"])
             steps = [(int(item["i"]), item["op"], self._read(item)) for item in frame["items"]]
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
-            raise Malformed(f"{type(problem).__name__}: {problem}") from problem
+            raise MalformedLine(f"{type(problem).__name__}: {problem}") from problem
         output = [row for step in steps for row in self._one(now, *step)]
         return json.dumps({"output": output}, separators=(",", ":"))
 
     def _read(self, item: Json) -> api.Event | tuple[api.Settings, int] | None:
         if item["op"] == "powerOn":
             return read_settings(item["params"]), int(item["randomSeed"])
-        return read_event(item)
+        return decode_event(item)
 
     def _one(
         self, now: int, instance: int, op: str, event: api.Event | tuple[api.Settings, int] | None
@@ -170,15 +172,15 @@
             self.routers.pop(instance, None)
         elif event is not None and instance in self.routers:
             for action in self.routers[instance].handle(now, event):
-                yield write_action(instance, action)
+                yield encode_action(instance, action)
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    drill = Drill()
+    drill = SimulatorAdapter()
     for line in source:
         try:
-            sink.write(drill.batch(line) + "\n")
-        except Malformed as problem:
+            sink.write(drill.process_line(line) + "\n")
+        except MalformedLine as problem:
             print(f"onyxpulley: bad line on the wire: {problem}", file=sys.stderr)
             return 1
         sink.flush()
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -94,7 +94,7 @@
             writer.close()
 
     def _fetch(self, connection: _Connection, words: list[str], body: bytes) -> None:
-        txn, row = words[1], fields.read(words[2])
+        txn, row = words[1], fields.parse(words[2])
         record = self.evidence.requests.get(txn)
         if record is None or body[-2:] != b"\r\n":
             self.evidence.notes.append(f"{self.uid}: a request that no client sent: {words}")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,12 +10,12 @@
 
 SEC = 1_000_000
 PAGES = api.ClassSettings(
-    "pages", 250_000, 2_500_000, 2.0, 1.0, 0.2, api.Effect.SAFE, fresh=8 * SEC, grace=20 * SEC
+    "pages", 250_000, 2_500_000, 2.0, 1.0, 0.2, api.Effect.SAFE, freshness_lifetime=8 * SEC, grace=20 * SEC
 )
 MEDIA = api.ClassSettings("media", 400_000, 5_000_000, 1.6, 2.0, 0.15, api.Effect.SAFE)
 SIGN = api.ClassSettings("sign", 600_000, 3_000_000, 0.0, 3.0, 0.0, api.Effect.UNSAFE, uncached=True)
 KEYED = api.ClassSettings(
-    "keyed", 600_000, 3_000_000, effect=api.Effect.KEYED, group="cell", repeat_window=1 * SEC, uncached=True
+    "keyed", 600_000, 3_000_000, effect=api.Effect.KEYED, dedup_by="cell", dedup_window=1 * SEC, uncached=True
 )
 BASE = api.Settings(
     zone="edge-1",
@@ -25,31 +25,31 @@
     zone_routers=2,
     parent_kind="parent",
     origin_kind="origin",
-    direct=True,
-    joins=True,
+    bypass_allowed=True,
+    may_join=True,
     notes="all",
     flow_kb_per_s=1000.0,
-    probes=False,
-    cancel=True,
-    second_copies=True,
-    come_back=True,
-    max_come_back=500_000,
+    may_probe=False,
+    may_cancel=True,
+    may_hedge=True,
+    sends_retry_after=True,
+    max_retry_after=500_000,
     max_attempts=6,
     drain_grace=500_000,
-    cold_from=0.2,
-    cold_time=18 * SEC,
+    cold_initial_share=0.2,
+    warm_up_time=18 * SEC,
     cold_multiple=3.0,
     cold_window=3 * SEC,
-    purge_done=6 * SEC,
+    purge_duration=6 * SEC,
     purge_grace=500_000,
 )
 START = 100 * SEC
 
 
-def entries(caches: int = 4, parents: int = 2, origin: bool = True) -> tuple[api.Entry, ...]:
-    rows = [api.Entry(f"c{i}", "edge-1", "box", cell=i // 2) for i in range(caches)]
-    rows += [api.Entry(f"p{i}", "hub", "parent") for i in range(parents)]
-    rows += [api.Entry("o", "hub", "origin")] if origin else []
+def entries(caches: int = 4, parents: int = 2, origin: bool = True) -> tuple[api.ServerEntry, ...]:
+    rows = [api.ServerEntry(f"c{i}", "edge-1", "box", cell=i // 2) for i in range(caches)]
+    rows += [api.ServerEntry(f"p{i}", "hub", "parent") for i in range(parents)]
+    rows += [api.ServerEntry("o", "hub", "origin")] if origin else []
     return tuple(rows)
 
 
@@ -57,19 +57,19 @@
     """A router with its list, and what it has said so far."""
 
     def __init__(
-        self, settings: api.Settings = BASE, rows: tuple[api.Entry, ...] | None = None, now: int = START
+        self, settings: api.Settings = BASE, rows: tuple[api.ServerEntry, ...] | None = None, now: int = START
     ) -> None:
         self.router = Router(settings, 1)
         self.now = now
         self.ids = count()
-        self.do(api.Listing(api.ListKind.CACHED, entries() if rows is None else rows))
+        self.do(api.MembershipUpdate(api.UpdateKind.CACHED, entries() if rows is None else rows))
 
     def do(self, event: api.Event, after: int = 0) -> list[api.Action]:
         self.now += after
         return self.router.handle(self.now, event)
 
-    def change(self, *rows: api.Entry, after: int = 0) -> None:
-        self.do(api.Listing(api.ListKind.CHANGES, rows), after)
+    def change(self, *rows: api.ServerEntry, after: int = 0) -> None:
+        self.do(api.MembershipUpdate(api.UpdateKind.CHANGES, rows), after)
 
     def ask(
         self, obj: str = "x", cls: str = "media", left: int = 5 * SEC, kb: float = 100.0, group: int = 1
@@ -80,7 +80,7 @@
     def end(
         self,
         name: str,
-        sent: api.Fetch | api.Ask,
+        sent: api.Fetch | api.Forward,
         outcome: api.Outcome = api.Outcome.SERVED,
         note: int = 0,
         after: int = 100_000,
@@ -97,8 +97,8 @@
         return sent
 
 
-def sends(actions: list[api.Action]) -> list[api.Fetch | api.Ask]:
-    return [a for a in actions if isinstance(a, api.Fetch | api.Ask)]
+def sends(actions: list[api.Action]) -> list[api.Fetch | api.Forward]:
+    return [a for a in actions if isinstance(a, api.Fetch | api.Forward)]
 
 
 def fetch(actions: list[api.Action]) -> api.Fetch:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 
 from onyxpulley.clock import now_us
-from onyxpulley.copies import Copies
-from onyxpulley.core import Answer, Attempt, Exchange, Order, Report, Request, Send, Verdict
+from onyxpulley.copy_store import CopyStore
+from onyxpulley.core import Answer, Attempt, AttemptResult, Command, Exchange, Request, Send, Verdict
 
 
 class Bounds:
@@ -18,33 +18,35 @@
 class OneAttempt:
     """Decides to send each request once, to the server that its item names; fails for the item `bad`."""
 
-    def pick(self, request: Request) -> Sequence[Order]:
-        if request.item == "bad":
+    def route(self, request: Request) -> Sequence[Command]:
+        if request.object_id == "bad":
             raise OSError("out of buffers")
-        return [Send(Attempt(request, 0, request.item, None, request.due))]
+        return [Send(Attempt(request, 0, request.object_id, None, request.deadline))]
 
-    def report(self, attempt: Attempt, report: Report, over: bool) -> Sequence[Order]:
+    def attempt_finished(
+        self, attempt: Attempt, result: AttemptResult, request_done: bool
+    ) -> Sequence[Command]:
         return []
 
-    def tick(self) -> Sequence[Order]:
+    def run_due_timers(self) -> Sequence[Command]:
         return []
 
-    def left(self, request: Request) -> Sequence[Order]:
+    def client_left(self, request: Request) -> Sequence[Command]:
         return []
 
-    def settle(self, request: Request) -> Sequence[Order]:
+    def answer_now(self, request: Request) -> Sequence[Command]:
         return []
 
-    def keeps(self, cls: str) -> bool:
+    def is_cacheable(self, cls: str) -> bool:
         return False
 
     def recheck(self, attempt: Attempt) -> bool:
         return True
 
-    def due_in(self) -> float | None:
+    def next_timer_in(self) -> float | None:
         return None
 
-    def stay_away(self) -> int:
+    def retry_after_ms(self) -> int:
         return 0
 
 
@@ -67,15 +69,15 @@
 def test_what_fails_for_one_request_is_its_own_failure() -> None:
     async def play() -> None:
         carrier = FailingCarrier()
-        exchange = Exchange(OneAttempt(), carrier, Bounds(), Copies(0))
+        exchange = Exchange(OneAttempt(), carrier, Bounds(), CopyStore(0))
         answers: dict[str, Verdict] = {}
         for number, item in enumerate(("bad", "broken", "good")):
 
             def reply(answer: Answer, item: str = item) -> None:
                 answers[item] = answer.verdict
 
-            exchange.take(Request(f"{number:016x}", "page", item, now_us() + 10**6, reply))
+            exchange.submit(Request(f"{number:016x}", "page", item, now_us() + 10**6, reply))
         assert answers == {"bad": Verdict.FAILED, "broken": Verdict.FAILED}
-        assert [attempt.server for attempt in carrier.sent] == ["good"] and len(exchange.open) == 1
+        assert [attempt.server for attempt in carrier.sent] == ["good"] and len(exchange.open_requests) == 1
 
     asyncio.run(play())
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -67,7 +67,7 @@
 
 
 def test_the_tables_of_the_decisions_stay_within_their_bound() -> None:
-    world = World(with_settings(memo=50))
+    world = World(with_settings(max_tracked_objects=50))
     for no in range(200):
         world.serve(f"x{no}")
     router = world.router
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,19 +20,19 @@
 def rushed(server: str, role: str) -> list[str]:
     """Objects at home at a server, all of the part that it takes at its coldest."""
     router = Router(BASE, 1)
-    router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
+    router.handle(START, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     names = (f"k{i}" for i in range(100_000))
     home = (o for o in names if part_of(o, server) < 0.1 and router.ranked(role, o)[0].id == server)
     return list(islice(home, 200))
 
 
-def drive(setting: api.Settings, cold: api.Entry, as_source: bool, rush: bool = False) -> float:
+def drive(setting: api.Settings, cold: api.ServerEntry, as_source: bool, rush: bool = False) -> float:
     """Work that reaches the cold server in its busiest window, over what the rule allows there."""
     hot = rushed(cold.server, "parent" if as_source else "cache") if rush else []
-    routers = [Router(replace(setting, me=i), i) for i in range(ROUTERS)]
+    routers = [Router(replace(setting, router_index=i), i) for i in range(ROUTERS)]
     now = START
     for router in routers:
-        router.handle(now, api.Listing(api.ListKind.CACHED, entries()))
+        router.handle(now, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     sent: list[tuple[int, float]] = []
     started = 0
     for step in range(160):
@@ -40,7 +40,9 @@
         if step == 100:
             started = now
             for router in routers:
-                router.handle(now, api.Listing(api.ListKind.CHANGES, (replace(cold, started=now),)))
+                router.handle(
+                    now, api.MembershipUpdate(api.UpdateKind.CHANGES, (replace(cold, start_time=now),))
+                )
         for i, router in enumerate(routers):
             name = f"r{i}-{step}"
             obj = hot[(step + i) % len(hot)] if rush and started else f"o{step}-{i}"
@@ -54,7 +56,7 @@
                     router.handle(now, done)
     # one server's load when all are warm
     fair = ROUTERS * 0.2 * SEC / (EACH_MS * 1000) / (2 if as_source else 4)
-    least, whole = (0.1, 30 * SEC) if as_source else (setting.cold_from, setting.cold_time)
+    least, whole = (0.1, 30 * SEC) if as_source else (setting.cold_initial_share, setting.warm_up_time)
     multiple = setting.parent_cold_multiple if as_source else setting.cold_multiple
     worst = 0.0
     for at, _ in sent:
@@ -67,35 +69,37 @@
 
 def test_forty_routers_together_stay_within_a_cold_caches_allowance() -> None:
     setting = replace(BASE, routers=ROUTERS, zone_routers=ROUTERS)
-    assert drive(setting, api.Entry("c0", "edge-1", "box"), as_source=False) < 1.0
+    assert drive(setting, api.ServerEntry("c0", "edge-1", "box"), as_source=False) < 1.0
 
 
 def test_a_rush_on_a_cold_servers_own_objects_stays_within_its_allowance() -> None:
     """The part by the second hash does not help here: only each router's budget does."""
     setting = replace(BASE, routers=ROUTERS, zone_routers=ROUTERS)
-    assert drive(setting, api.Entry("c0", "edge-1", "box"), as_source=False, rush=True) < 1.0
-    assert drive(setting, api.Entry("p0", "hub", "parent"), as_source=True, rush=True) < 1.0
+    assert drive(setting, api.ServerEntry("c0", "edge-1", "box"), as_source=False, rush=True) < 1.0
+    assert drive(setting, api.ServerEntry("p0", "hub", "parent"), as_source=True, rush=True) < 1.0
 
 
 def test_forty_routers_together_stay_within_a_cold_parents_allowance() -> None:
     setting = replace(BASE, routers=ROUTERS, zone_routers=ROUTERS)
-    assert drive(setting, api.Entry("p0", "hub", "parent"), as_source=True) < 1.0
+    assert drive(setting, api.ServerEntry("p0", "hub", "parent"), as_source=True) < 1.0
 
 
 def test_memory_stays_bounded_while_servers_are_replaced() -> None:
     """A router that runs for months sees thousands of servers come and go."""
     router = Router(BASE, 1)
-    router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
+    router.handle(START, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     for i in range(3000):
-        new = api.Entry(f"n{i}", "edge-1", "box", started=START + i * SEC)
-        old = replace(new, server=f"n{i - 1}", state=api.State.GONE)
-        router.handle(START + i * SEC, api.Listing(api.ListKind.CHANGES, (new, old) if i else (new,)))
+        new = api.ServerEntry(f"n{i}", "edge-1", "box", start_time=START + i * SEC)
+        old = replace(new, server=f"n{i - 1}", state=api.ServerState.GONE)
+        router.handle(
+            START + i * SEC, api.MembershipUpdate(api.UpdateKind.CHANGES, (new, old) if i else (new,))
+        )
     assert len(router.servers) < 300
 
 
 def test_a_list_of_hundreds_and_odd_starts_keep_to_ready_servers() -> None:
     """Odd but legal lists: hundreds of servers, starts in the past or the future, one of everything, none."""
-    odd = [api.Entry(f"c{i}", "edge-1", "box", started=START + (i - 200) * SEC) for i in range(400)]
+    odd = [api.ServerEntry(f"c{i}", "edge-1", "box", start_time=START + (i - 200) * SEC) for i in range(400)]
     for rows in (
         (*odd, *entries(0)),
         entries(1, 1),
@@ -105,7 +109,7 @@
     ):
         ready = {r.server for r in rows}
         router = Router(replace(BASE, routers=0, zone_routers=0), 1)
-        router.handle(START, api.Listing(api.ListKind.FULL, rows))
+        router.handle(START, api.MembershipUpdate(api.UpdateKind.FULL, rows))
         answered = 0
         for i in range(50):
             for action in router.handle(START + i, api.Request(f"r{i}", "media", f"o{i}", SEC, 1, 50.0)):
@@ -117,7 +121,7 @@
 
 def test_outcomes_and_times_that_make_no_sense_raise_nothing() -> None:
     router = Router(BASE, 1)
-    router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
+    router.handle(START, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     (sent, *_) = router.handle(START, api.Request("r", "no such class", "o", SEC))
     assert isinstance(sent, api.Fetch)
     back = START - 10 * SEC
@@ -167,7 +171,7 @@
     rows = tuple(replace(e, weight=20.0) if e.kind == "parent" else e for e in entries(4, 8))
     named = {}
     for routers in (4, 200):  # one fill a quarter of a second is 0.4 of a transfer; at 200 routers 80
-        world = World(replace(BASE, routers=routers, nominal_weights=True), rows)
+        world = World(replace(BASE, routers=routers, weights_are_nominal=True), rows)
         filled(world, "hot", range(60), 150_000)
         named[routers] = set(filled(world, "hot", range(100, 140), 150_000))
     assert len(named[4]) == 1, "the ordinary path: one parent for an object"
@@ -177,15 +181,15 @@
 # Guards against requests that each cost a look at all servers: with thousands of them the router would stall.
 def test_what_moves_no_rank_leaves_the_ranks_of_thousands_of_servers() -> None:
     many = entries(3_000, 4)
-    elsewhere = api.Entry("s0", "edge-2", "box")
-    world = World(with_settings(memo=40_000), (*many, elsewhere))
+    elsewhere = api.ServerEntry("s0", "edge-2", "box")
+    world = World(with_settings(max_tracked_objects=40_000), (*many, elsewhere))
     for number in range(20):
         world.serve(f"x{number}")
     ranks = dict(world.router.ranks)
     assert ranks and all(len(row) <= 64 for row in ranks.values())
-    world.change(api.Entry("c7", "edge-1", "box", state=api.State.DRAINING))
-    world.change(api.Entry("s0", "edge-2", "box", state=api.State.GONE))
-    world.change(api.Entry("s1", "edge-2", "box"))
+    world.change(api.ServerEntry("c7", "edge-1", "box", state=api.ServerState.DRAINING))
+    world.change(api.ServerEntry("s0", "edge-2", "box", state=api.ServerState.GONE))
+    world.change(api.ServerEntry("s1", "edge-2", "box"))
     assert dict(world.router.ranks) == ranks
-    world.change(api.Entry("c3001", "edge-1", "box"))
+    world.change(api.ServerEntry("c3001", "edge-1", "box"))
     assert not world.router.ranks, "a new one takes its objects at once"
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -151,8 +151,10 @@
 
 def reporting(held: float, waited: int = 0) -> World:
     """A world whose caches, of four transfers each, last reported so many requests in hand."""
-    world = World(with_settings(nominal_weights=True, report=("busy_reqs",), direct=False))
-    world.change(*(api.Entry(f"c{i}", "edge-1", "box", weight=4.0) for i in range(4)))
+    world = World(
+        with_settings(weights_are_nominal=True, load_report_fields=("busy_reqs",), bypass_allowed=False)
+    )
+    world.change(*(api.ServerEntry(f"c{i}", "edge-1", "box", weight=4.0) for i in range(4)))
     last = [owned_by(world, f"c{i}", 1)[0] for i in range(4)]
     for no, obj in enumerate([f"w{i}" for i in range(60)] + last):
         name, actions = world.ask(obj)
@@ -189,7 +191,7 @@
 
 def test_a_fill_at_a_crowded_cache_is_begun_only_with_a_margin_and_a_hit_is_still_asked_for() -> None:
     sources = [fetch(reporting(held).ask("n1", kb=300.0, left=4 * SEC)[1]) for held in (4.0, 10.0)]
-    assert [s.only_held or s.source == s.server for s in sources] == [False, True]
+    assert [s.only_if_cached or s.source == s.server for s in sources] == [False, True]
 
 
 def test_requests_that_wait_for_a_slow_source_do_not_count_as_crowding() -> None:
@@ -211,7 +213,7 @@
 
 
 def test_all_caches_crowded_refuses_what_would_be_late() -> None:
-    world = World(with_settings(direct=False))
+    world = World(with_settings(bypass_allowed=False))
     for server in world.router.servers.values():
         if server.role == "cache":
             server.slow, server.part, server.part_at, server.slow_at = 8.0, 0.0, world.now, world.now
@@ -232,7 +234,7 @@
 
 
 def test_without_second_copies_the_late_attempt_is_cancelled_first() -> None:
-    world = World(with_settings(second_copies=False))
+    world = World(with_settings(may_hedge=False))
     mine = owned_by(world, "c1", 6)
     asked = [world.ask(o) for o in mine]
     timers = [a for _, actions in asked for a in actions if isinstance(a, api.SetTimer)]
@@ -255,8 +257,8 @@
 
 def test_objects_asked_for_again_rank_above_one_offs() -> None:
     world = World()
-    assert fetch(world.ask("x")[1]).rank == 1
-    assert fetch(world.ask("x")[1]).rank == 2
+    assert fetch(world.ask("x")[1]).retention_rank == 1
+    assert fetch(world.ask("x")[1]).retention_rank == 2
 
 
 def test_rush_on_one_object_goes_to_more_than_one_cache_and_ends_with_it() -> None:
@@ -300,7 +302,7 @@
     world = World()
     name, actions = world.ask("x", "pages")
     first = fetch(actions)
-    world.change(api.Entry(first.server, "edge-1", "box", state=api.State.DRAINING))
+    world.change(api.ServerEntry(first.server, "edge-1", "box", state=api.ServerState.DRAINING))
     after = world.end(name, first, Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
     assert finals(after) and not sends(after)
 
@@ -344,8 +346,8 @@
     """With one parent lost and the other cold nothing was filled at all."""
     world = World()
     world.change(
-        api.Entry("p0", "hub", "parent", state=api.State.GONE),
-        api.Entry("p1", "hub", "parent", started=world.now),
+        api.ServerEntry("p0", "hub", "parent", state=api.ServerState.GONE),
+        api.ServerEntry("p1", "hub", "parent", start_time=world.now),
     )
     assert {fetch(world.ask(f"n{i}")[1]).source for i in range(50)} >= {"o"}
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -15,9 +15,9 @@
 from onyxpulley import config
 from onyxpulley.clients import Client, Clients
 from onyxpulley.clock import now_us
-from onyxpulley.copies import Copies
-from onyxpulley.core import Answer, Attempt, Exchange, Outcome, Report, Request
-from onyxpulley.facade import Facade, Member
+from onyxpulley.copy_store import CopyStore
+from onyxpulley.core import Answer, Attempt, AttemptResult, Exchange, Outcome, Request
+from onyxpulley.decision_adapter import DecisionAdapter, Member
 
 from .player import SETTINGS, resp
 
@@ -48,11 +48,11 @@
     (folder / "config.json").write_text(json.dumps(table))
     limits = config.load({"GW_CONFIG": str(folder / "config.json")}).limits
     carrier = Carrier()
-    facade = Facade(SETTINGS, 1)
-    exchange = Exchange(facade, carrier, limits, Copies(0))
+    facade = DecisionAdapter(SETTINGS, 1)
+    exchange = Exchange(facade, carrier, limits, CopyStore(0))
     rows = [("c0", "edge-1", "box"), ("o", "hub", "origin")]
     members = [Member(uid, "127.0.0.1:9", zone, kind, 0, "Ready", 4.0, 0) for uid, zone, kind in rows]
-    exchange.run(facade.roster(True, members))
+    exchange.execute(facade.update_servers(True, members))
     return exchange, carrier, limits
 
 
@@ -67,11 +67,11 @@
                 answers.append(answer)
 
             request = Request("9b1f03aa5c7e2d41", "page-file", "x", now_us() + 2_000_000, reply)
-            exchange.take(request)
+            exchange.submit(request)
             if end == "left":
-                exchange.left(request)
+                exchange.client_left(request)
             else:
-                exchange.finish(carrier.out.pop(), Report(Outcome.SERVED, body=b"ok", tag="aa"))
+                exchange.finish(carrier.out.pop(), AttemptResult(Outcome.SERVED, body=b"ok", tag="aa"))
             return weakref.ref(reply)
 
         found = take()
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -15,9 +15,9 @@
 
 from onyxpulley.bulletin import Bulletin
 from onyxpulley.config import ENTRY, limits_of
-from onyxpulley.copies import Copies
+from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Exchange, Request
-from onyxpulley.facade import Facade
+from onyxpulley.decision_adapter import DecisionAdapter
 from onyxpulley.news import CALLS, DEAD, UP, BadNews, Ledger, Recall, Roster, Watch, event
 from onyxpulley.servers import Servers
 from onyxpulley.wires import PlainWire
@@ -203,9 +203,9 @@
     """The program's parts round a bulletin on loopback, without its fronts."""
 
     def __init__(self, port: int) -> None:
-        self.facade = Facade(SETTINGS, 1)
+        self.facade = DecisionAdapter(SETTINGS, 1)
         self.servers = Servers(LIMITS)
-        self.exchange = Exchange(self.facade, self.servers, LIMITS, Copies(0))
+        self.exchange = Exchange(self.facade, self.servers, LIMITS, CopyStore(0))
         self.servers.exchange = self.exchange
         self.bulletin = Bulletin(
             ("127.0.0.1", port), 1, LIMITS.line, self.facade, self.exchange, self.servers
@@ -229,14 +229,14 @@
             peer.sendall(b"1\n")
             while not any(call.up and call.got for call in rig.bulletin.calls.values()):
                 await asyncio.sleep(0.01)
-            rig.exchange.take(request(lambda answer: None))
-            attempt = next(iter(rig.exchange.open.values())).attempts[0]
+            rig.exchange.submit(request(lambda answer: None))
+            attempt = next(iter(rig.exchange.open_requests.values())).attempts[0]
             assert attempt.server == "c0" and attempt.source == "p0"
             peer.sendall(line(roster(2, {"p0": "Terminating"})) + b"\n")
             rig.bulletin.looked -= 1.0  # as long as the loop had been busy with other work
-            assert not rig.exchange.clear(attempt), "told, whether read or not"
+            assert not rig.exchange.check_before_write(attempt), "told, whether read or not"
             assert rig.bulletin.no == 2
-            later = next(iter(rig.exchange.open.values())).attempts[-1]
+            later = next(iter(rig.exchange.open_requests.values())).attempts[-1]
             assert later is not attempt and later.source != "p0"
             follow.cancel()
             peer.close()
@@ -257,8 +257,8 @@
             for no in range(2):
                 ask = request(lambda answer: None)
                 ask.txn = f"{no:016x}"
-                rig.exchange.take(ask)
-            first, second = (r.attempts[0] for r in rig.exchange.open.values())
+                rig.exchange.submit(ask)
+            first, second = (r.attempts[0] for r in rig.exchange.open_requests.values())
             connection = rig.servers.pools["c0"].connections[0]
             assert list(connection.waiting) == [first, second]
 
@@ -318,13 +318,13 @@
 @pytest.mark.parametrize("servers", [9, 200, 1100])
 def test_the_ranks_of_many_servers_stay_within_their_share_of_the_memory(servers: int) -> None:
     """An entry refers to every server of its role, so there are the fewer of them."""
-    world = Decisions(with_settings(memo=500), entries(caches=servers))
+    world = Decisions(with_settings(max_tracked_objects=500), entries(caches=servers))
     for no in range(600):
         world.router.ranked("cache", f"x{no}")
     ranks = world.router.ranks
     assert sum(8 * len(row) for row in ranks.values()) <= 500 * ENTRY
     assert len(ranks) >= 40, "and still enough to be of use"
-    world.router.configure(with_settings(memo=100))
+    world.router.configure(with_settings(max_tracked_objects=100))
     world.router.ranked("cache", "x0")
     assert not len(ranks) > 1 and ranks.most <= 100
 
@@ -341,7 +341,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             rig = Rig(listener.getsockname()[1])
             rig.bulletin.known(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
-            assert len(rig.servers.pools) == 1025 and rig.facade.listed()[0] == 1025
+            assert len(rig.servers.pools) == 1025 and rig.facade.server_counts()[0] == 1025
             follow = asyncio.create_task(rig.bulletin.follow())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,15 +7,15 @@
 
 from onyxpulley import interface as api
 from onyxpulley.control import Router
-from onyxpulley.interface import Note, Outcome, State
+from onyxpulley.interface import Note, Outcome, ServerState
 
 from .helpers import BASE, KEYED, SEC, START, World, entries, fetch, finals, sends, with_settings
 
 SETTINGS = [
     BASE,
-    with_settings(second_copies=False, notes="hit", flow_kb_per_s=0.0, probes=True),
-    with_settings(direct=False, joins=False, come_back=False, subscribe=True),
-    with_settings(parent_kind=None, cancel=False, max_attempts=1, nominal_weights=True),
+    with_settings(may_hedge=False, notes="hit", flow_kb_per_s=0.0, may_probe=True),
+    with_settings(bypass_allowed=False, may_join=False, sends_retry_after=False, subscribe=True),
+    with_settings(parent_kind=None, may_cancel=False, max_attempts=1, weights_are_nominal=True),
 ]
 STEP = st.tuples(st.integers(0, 7), st.integers(0, 40), st.integers(0, 10), st.integers(0, 1_500_000))
 OUTCOMES = list(Outcome)
@@ -25,18 +25,18 @@
 class Watch:
     """Plays legal events at a router and holds it to the rules."""
 
-    def __init__(self, setting: api.Settings, rows: tuple[api.Entry, ...]) -> None:
+    def __init__(self, setting: api.Settings, rows: tuple[api.ServerEntry, ...]) -> None:
         self.set, self.rows, self.now, self.made = setting, rows, START, 0
         self.router = Router(setting, 3)
         self.state = {r.server: r.state for r in rows}
         self.owed: dict[str, api.Request] = {}
         self.over: set[str] = set()
-        self.out: dict[tuple[str, int], api.Fetch | api.Ask] = {}
+        self.out: dict[tuple[str, int], api.Fetch | api.Forward] = {}
         self.count: dict[str, int] = {}
         self.ran: dict[str, set[str]] = {}
         self.purged_at = -1
         self.tokens: list[int] = []
-        self.feed(api.Listing(api.ListKind.CACHED, rows))
+        self.feed(api.MembershipUpdate(api.UpdateKind.CACHED, rows))
 
     def feed(self, event: api.Event) -> None:
         for action in self.router.handle(self.now, event):
@@ -47,16 +47,16 @@
 
     def check(self, action: api.Action) -> None:
         match action:
-            case api.Fetch() | api.Ask():
+            case api.Fetch() | api.Forward():
                 assert action.id in self.owed, "nothing is sent after the final answer"
-                assert self.state[action.server] == State.READY
+                assert self.state[action.server] == ServerState.READY
                 if isinstance(action, api.Fetch):
-                    assert self.state[action.source] == State.READY or action.source == action.server
-                    if self.purged_at >= 0 and self.now - self.purged_at <= self.set.purge_done:
+                    assert self.state[action.source] == ServerState.READY or action.source == action.server
+                    if self.purged_at >= 0 and self.now - self.purged_at <= self.set.purge_duration:
                         assert 0 < action.max_age <= max(1, self.now - self.purged_at)
                 no = self.count.get(action.id, 0)
                 assert no < self.set.max_attempts
-                if not self.set.second_copies:
+                if not self.set.may_hedge:
                     assert not [k for k in self.out if k[0] == action.id]
                 if self.effect(action.id) is api.Effect.UNSAFE:
                     assert not self.ran.get(action.id)
@@ -73,9 +73,9 @@
             case api.SetTimer():
                 self.tokens.append(action.token)
             case api.Probe():
-                assert self.set.probes
+                assert self.set.may_probe
             case api.Cancel():
-                assert self.set.cancel
+                assert self.set.may_cancel
 
     def step(self, kind: int, pick: int, sub: int, wait: int) -> None:
         self.now += wait
@@ -104,13 +104,13 @@
         elif kind == 5 and self.tokens:
             self.feed(api.TimerDue(self.tokens.pop(pick % len(self.tokens))))
         elif kind == 6:
-            row = self.rows[pick % len(self.rows)] if self.rows else api.Entry("new", "edge-1", "box")
-            state = State(sub % 3)
+            row = self.rows[pick % len(self.rows)] if self.rows else api.ServerEntry("new", "edge-1", "box")
+            state = ServerState(sub % 3)
             self.state[row.server] = state
-            entry = api.Entry(
+            entry = api.ServerEntry(
                 row.server, row.zone, row.kind, row.cell, state, row.weight, self.now if sub > 5 else 0
             )
-            self.feed(api.Listing(api.ListKind.CHANGES, (entry,)))
+            self.feed(api.MembershipUpdate(api.UpdateKind.CHANGES, (entry,)))
         elif kind == 7:
             self.purged_at = max(self.purged_at, self.now - wait)
             self.feed(api.Purged(1, wait))
@@ -180,7 +180,7 @@
 
 
 def test_keyed_stays_in_its_cell_and_window() -> None:
-    world = World(with_settings(direct=False))
+    world = World(with_settings(bypass_allowed=False))
     name, actions = world.ask(cls=KEYED.name)
     sent = fetch(actions)
     cell = int(sent.server[1]) // 2
@@ -193,8 +193,8 @@
 def test_drained_server_is_neither_asked_nor_named_from_the_event_on() -> None:
     world = World()
     home = world.serve("x")
-    world.change(api.Entry(home.server, "edge-1", "box", state=State.DRAINING))
-    world.change(api.Entry(home.source, "hub", "parent", state=State.DRAINING))
+    world.change(api.ServerEntry(home.server, "edge-1", "box", state=ServerState.DRAINING))
+    world.change(api.ServerEntry(home.source, "hub", "parent", state=ServerState.DRAINING))
     moved = fetch(world.ask("x")[1])
     assert moved.server != home.server and moved.source != home.source
 
@@ -202,7 +202,9 @@
 def test_full_list_without_a_server_removes_it() -> None:
     world = World()
     home = world.serve("x")
-    world.do(api.Listing(api.ListKind.FULL, tuple(e for e in entries() if e.server != home.server)))
+    world.do(
+        api.MembershipUpdate(api.UpdateKind.FULL, tuple(e for e in entries() if e.server != home.server))
+    )
     assert fetch(world.ask("x")[1]).server != home.server
 
 
@@ -227,7 +229,7 @@
     world = World()
     for i in range(200):
         world.serve(f"o{i}")
-    cold = api.Entry("c0", "edge-1", "box", started=world.now)
+    cold = api.ServerEntry("c0", "edge-1", "box", start_time=world.now)
     world.change(cold)
     hits = [fetch(world.ask(f"n{i}")[1]).server for i in range(400)]
     assert 0 < hits.count("c0") < 0.4 * 400 / 4
@@ -237,7 +239,7 @@
     world = World()
     for i in range(100):
         world.serve(f"o{i}")
-    world.change(api.Entry("p0", "hub", "parent", started=world.now))
+    world.change(api.ServerEntry("p0", "hub", "parent", start_time=world.now))
     named = [fetch(world.ask(f"n{i}")[1]).source for i in range(400)]
     assert named.count("p0") < 0.3 * 400 / 2
 
@@ -260,7 +262,7 @@
     for i in range(50):
         name, actions = world.ask(f"o{i}", kb=400.0)
         world.end(name, fetch(actions), note=Note.HIT, after=400_000)
-    world.change(api.Entry("c0", "edge-1", "box", started=world.now))
+    world.change(api.ServerEntry("c0", "edge-1", "box", start_time=world.now))
     sent = [fetch(world.ask(f"n{i}", kb=1.0)[1]).server for i in range(60)].count("c0")
     assert sent and world.router.servers["c0"].sent_cold.total > sent * 150_000
 
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from onyxpulley.drill import Drill, main
+from onyxpulley.simulator_adapter import SimulatorAdapter, main
 
 PARAMS: dict[str, Any] = {
     "azs": ["hub", "edge-1"],
@@ -91,7 +91,7 @@
 
 def run(lines: list[str], seed: str) -> list[str]:
     env = {**os.environ, "PYTHONHASHSEED": seed}
-    command = [sys.executable, "-m", "onyxpulley.drill"]
+    command = [sys.executable, "-m", "onyxpulley.simulator_adapter"]
     done = subprocess.run(
         command, input="\n".join(lines) + "\n", env=env, capture_output=True, text=True, check=True
     )
@@ -106,8 +106,8 @@
 
 
 def test_a_request_becomes_a_named_fetch() -> None:
-    drill = Drill()
-    replies = [json.loads(drill.batch(line))["output"] for line in script([7])[:3]]
+    drill = SimulatorAdapter()
+    replies = [json.loads(drill.process_line(line))["output"] for line in script([7])[:3]]
     sent = [a for a in replies[2] if a["op"] == "pullVia"][0]
     assert sent["i"] == 7 and sent["server"].startswith("c") and sent["feeder"] == "p0"
 
@@ -133,10 +133,10 @@
 
 
 def test_unknown_events_fields_and_stopped_instances_are_skipped() -> None:
-    drill = Drill()
+    drill = SimulatorAdapter()
     for line in script([0])[:2]:
-        drill.batch(line)
-    assert drill.batch('{"t":9000,"items":[{"op":"fanfare","i":0,"x":1}]}') == '{"output":[]}'
-    drill.batch('{"t":9000,"items":[{"op":"retire","i":0}]}')
+        drill.process_line(line)
+    assert drill.process_line('{"t":9000,"items":[{"op":"fanfare","i":0,"x":1}]}') == '{"output":[]}'
+    drill.process_line('{"t":9000,"items":[{"op":"retire","i":0}]}')
     late = '{"t":9001,"items":[{"op":"newRequest","i":0,"ref":"a","service":"media","timeLeft":5}]}'
-    assert drill.batch(late) == '{"output":[]}'
+    assert drill.process_line(late) == '{"output":[]}'
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -29,10 +29,10 @@
     return count + 2 * math.sqrt(count) + 2
 
 
-def rows(cold: str, state: api.State = api.State.READY) -> tuple[api.Entry, ...]:
+def rows(cold: str, state: api.ServerState = api.ServerState.READY) -> tuple[api.ServerEntry, ...]:
     """The usual servers with their weights; `cold` started at START."""
     return tuple(
-        api.Entry(e.server, e.zone, e.kind, e.cell, state, WEIGHT, START if e.server == cold else 0)
+        api.ServerEntry(e.server, e.zone, e.kind, e.cell, state, WEIGHT, START if e.server == cold else 0)
         for e in entries(4, 2)
     )
 
@@ -42,9 +42,9 @@
     settings = with_settings(
         routers=count,
         zone_routers=count,
-        nominal_weights=True,
-        parent_cold_from=PARENT_FROM,
-        parent_cold_time=PARENT_TIME,
+        weights_are_nominal=True,
+        parent_cold_initial_share=PARENT_FROM,
+        parent_warm_up_time=PARENT_TIME,
     )
     return World(settings, rows(cold), at)
 
@@ -73,7 +73,9 @@
     moments = {"none": lambda: DAY, "spread": lambda: luck.randrange(DAY), "together": lambda: 2 * SEC}
     again = [START + moments[restarts]() for _ in worlds]
     multiple = BASE.cold_multiple if cold == "c0" else worlds[0].router.set.parent_cold_multiple
-    least, whole = (BASE.cold_from, BASE.cold_time) if cold == "c0" else (PARENT_FROM, PARENT_TIME)
+    least, whole = (
+        (BASE.cold_initial_share, BASE.warm_up_time) if cold == "c0" else (PARENT_FROM, PARENT_TIME)
+    )
     window: deque[int] = deque()
     sent = 0
     for at in range(START, START + DAY, STEP):
--- a/tests/test_write.py
+++ b/tests/test_write.py
@@ -19,7 +19,7 @@
         assert recheck(world, name) == 0
         gone = getattr(fetch(actions), role)
         row = next(e for e in entries() if e.server == gone)
-        world.change(api.Entry(gone, row.zone, row.kind, row.cell, api.State.DRAINING))
+        world.change(api.ServerEntry(gone, row.zone, row.kind, row.cell, api.ServerState.DRAINING))
         assert recheck(world, name) is None
 
 
@@ -35,7 +35,9 @@
     world = World()
     name, actions = world.ask()
     row = next(e for e in entries() if e.server == fetch(actions).server)
-    world.change(api.Entry(row.server, row.zone, row.kind, row.cell, api.State.READY, 1.0, world.now))
+    world.change(
+        api.ServerEntry(row.server, row.zone, row.kind, row.cell, api.ServerState.READY, 1.0, world.now)
+    )
     assert recheck(world, name) is None
 
 
@@ -43,7 +45,7 @@
     world = World()
     name, actions = world.ask(cls="sign")
     for attempt in range(8):
-        sent = [a for a in actions if isinstance(a, api.Ask | api.Fetch)]
+        sent = [a for a in actions if isinstance(a, api.Forward | api.Fetch)]
         if not sent:
             break
         actions = world.end(name, sent[0], api.Outcome.FULL, attempt=attempt)
@@ -51,12 +53,12 @@
 
 
 def own(world: World, age: int, cls: str = "pages", kb: float = 50.0) -> bool:
-    request = api.Request(f"own{world.now}", cls, "x", 2 * SEC, group=1, size_kb=kb, own=age)
-    return any(isinstance(a, api.Own) for a in world.do(request, 1))
+    request = api.Request(f"own{world.now}", cls, "x", 2 * SEC, group=1, size_kb=kb, own_copy_age=age)
+    return any(isinstance(a, api.ServeOwnCopy) for a in world.do(request, 1))
 
 
 def test_an_own_copy_keeps_to_age_purge_link_and_class() -> None:
-    world = World(with_settings(own_transfers=2.0))
+    world = World(with_settings(link_transfers=2.0))
     assert own(world, 1 * SEC)
     assert not own(world, 8 * SEC)  # past its fresh time
     assert not own(world, 0, "sign")  # a job runs
@@ -64,7 +66,7 @@
     assert (
         not own(world, 1 * SEC) and own(world, 0 * SEC) is False
     )  # older than the purge, or not surely newer
-    busy = World(with_settings(own_transfers=2.0))
+    busy = World(with_settings(link_transfers=2.0))
     served = [own(busy, 1 * SEC, kb=100.0) for _ in range(20)]
     assert served[0] and not served[-1]  # the link is full: a cache is quicker
     assert not own(World(), 1 * SEC)  # no link told: no copies
@@ -76,7 +78,9 @@
         name, actions = world.ask()
         sent = fetch(actions)
         world.do(
-            api.Finished(name, 0, sent.server, api.Outcome.SERVED, 2_000, True, api.Note.HIT, bare=True),
+            api.Finished(
+                name, 0, sent.server, api.Outcome.SERVED, 2_000, True, api.Note.HIT, not_modified=True
+            ),
             2_000,
         )
     assert world.router.lag == World().router.lag
