--- a/onyxpulley/interface.py
+++ b/onyxpulley/interface.py
@@ -1,6 +1,7 @@
-"""Types of onyxpulley: the settings and events a router reads, the actions it answers with.
+"""Types that cross the boundary of the routing decisions: settings and events go in, actions come out.
 
-Times are whole microseconds on the events' clock. Nothing here decides anything.
+Durations and timestamps are whole microseconds; timestamps are on the clock of the events. The module holds
+data types only and makes no decisions.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
     MISS = "miss"
-    NOT_CONNECTED = "not connected"  # for want of something on this machine: it says nothing of the server
+    NOT_CONNECTED = "not connected"  # this machine lacked a resource: says nothing about the server
 
 
-# The outcomes that prove that an attempt never ran.
+# Outcomes that prove that the server did not run the request.
 NEVER_RAN = frozenset(
     {Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_SENT, Outcome.MISS, Outcome.NOT_CONNECTED}
 )
 
 
 class Note(IntEnum):
-    """What an answer tells of how it came about."""
+    """What a server reports about how it produced its answer: from its copy, by a fill, or why not."""
 
     NONE = 0
     HIT = 1
@@ -47,7 +48,7 @@
 
 
 class Effect(Enum):
-    """May a request run twice?"""
+    """Whether a request may run twice: yes, only where servers drop repeats by a key, or no."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -55,12 +56,16 @@
 
 
 class ServerState(IntEnum):
+    """State of a server in the membership list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class UpdateKind(Enum):
+    """What a membership update contains: changes, the whole list, a cached whole list, or a failed read."""
+
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
@@ -69,7 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of requests. `aim` grows by `aim_stretch` times the request's own sending time."""
+    """Settings of one class of requests.
+
+    An answer earns its full worth within `aim`, which is extended by `aim_stretch` times the request's own
+    transfer time, and `late_share` of it when it comes later.
+    """
 
     name: str
     aim: int
@@ -78,59 +87,57 @@
     worth: float = 1.0
     late_share: float = 0.0
     effect: Effect = Effect.UNSAFE
-    dedup_by: str = "all"  # keyed: who drops repeats: "all", "zone" or "cell"
-    dedup_window: int = 0
+    dedup_by: str = "all"  # keyed classes: which servers drop repeats together: "all", "zone" or "cell"
+    dedup_window: int = 0  # for how long they drop repeats
     streamed: bool = False
-    freshness_lifetime: int = 0  # 0: a copy is good until purged
-    grace: int = 0
+    freshness_lifetime: int = 0  # 0: a copy is fresh until it is purged
+    grace: int = 0  # how long beyond that a stale copy may be served while it cannot be refreshed
     stale_worth: float = 0.0
     uncached: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router is told at its start. A default stands where a deployment may leave a figure out."""
+    """Settings of one router. A field with a default may be left out of the deployment's settings."""
 
     zone: str
     classes: tuple[ClassSettings, ...]
     zones: tuple[str, ...] = ()
     router_index: int = 0
-    routers: int = 1
-    tick: int = 1000
+    routers: int = 1  # number of routers in the deployment
+    tick: int = 1000  # resolution of the events' clock
     parent_kind: str | None = None
     origin_kind: str | None = None
-    zone_routers: int = 1  # routers of this router's own location
+    zone_routers: int = 1  # number of routers in this router's zone
     zone_hubs: tuple[int, ...] = ()
-    bypass_allowed: bool = False
-    may_join: bool = False
+    bypass_allowed: bool = False  # requests may go past the caches, to a parent or the origin
+    may_join: bool = False  # a request may join a fill under way
     sibling_scope: str = "none"  # "none", "location" or "any"
-    notes: str = "none"  # "all", "hit" or "none"
-    flow_kb_per_s: float = 0.0
-    weights_are_nominal: bool = False
-    subscribe: bool = False
+    notes: str = "none"  # which notes servers send: "all", "hit" or "none"
+    flow_kb_per_s: float = 0.0  # rate of one transfer at full speed; 0: unknown
+    weights_are_nominal: bool = False  # a server's weight is the number of transfers that its link carries
+    subscribe: bool = False  # membership changes must be subscribed to
     must_ask_in: int = 0
     may_probe: bool = False
     may_cancel: bool = False
-    may_hedge: bool = False
+    may_hedge: bool = False  # a safe request may have two attempts in flight
     sends_retry_after: bool = False
     max_retry_after: int = 0
     max_attempts: int = 3
     drain_grace: int = 0
     answer_grace: int = 0
-    cold_initial_share: float = 0.1
+    cold_initial_share: float = 0.1  # share of its capacity that a server has right after its start
     warm_up_time: int = 30_000_000
-    cold_multiple: float = 2.0
-    cold_window: int = 2_000_000
+    cold_multiple: float = 2.0  # multiple of its current capacity that a cold server may be sent
+    cold_window: int = 2_000_000  # window over which that limit is counted
     parent_cold_initial_share: float = 0.1
     parent_warm_up_time: int = 30_000_000
     parent_cold_multiple: float = 2.0
     purge_grace: int = 0
-    purge_duration: int = 10_000_000
-    load_report_fields: tuple[str, ...] = ()
-    max_tracked_objects: int = (
-        40_000  # entries of each table of objects: rankings, what was asked for, learned sizes
-    )
-    link_transfers: float = 0.0  # at full pace, that fit on this router's own link; 0: it keeps no copies
+    purge_duration: int = 10_000_000  # within this time servers drop purged copies
+    load_report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
+    max_tracked_objects: int = 40_000  # entries per table: rankings, request rates, learned sizes
+    link_transfers: float = 0.0  # full-speed transfers that this router's link carries; 0: keeps no copies
 
 
 # Events
@@ -138,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One server of the list: an edge cache, a parent or the origin, by its kind."""
+    """One server of the membership list: an edge cache, a parent or the origin, according to its kind."""
 
     server: str
     zone: str
@@ -146,16 +153,19 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     weight: float = 1.0
-    start_time: int = 0  # which start of it this is: a later one has another number; 0: long ago
-    latest_start: int | None = None  # when that was on the events' clock, at the latest; else `started`
+    start_time: int = 0  # identifies a start of the server: differs after each restart; 0: long ago
+    latest_start: int | None = None  # upper bound of the start, on the events' clock; None: `start_time`
 
     @property
     def cold_since(self) -> int:
+        """The time from which the server's warm-up is counted."""
         return self.start_time if self.latest_start is None else self.latest_start
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
+    """Servers reported by discovery: all of them or, for CHANGES, those that changed."""
+
     kind: UpdateKind
     entries: tuple[ServerEntry, ...] = ()
     version: int = 0
@@ -163,6 +173,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A new request, which is owed exactly one final answer."""
+
     id: str
     cls: str
     object: str
@@ -173,13 +185,13 @@
     is_write: bool = False
     is_repeat: bool = False
     tenant: str | None = None
-    own_copy_age: int | None = None  # age of the copy that this router holds itself
-    client_has_copy: bool = False  # that copy is the client's too: no bytes are needed
+    own_copy_age: int | None = None  # age of this router's own copy; None: it has none
+    client_has_copy: bool = False  # the client holds that same copy: no body has to be sent
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has started: it belongs to the client now."""
+    """A streamed answer has started. No other answer can be sent to the client any more."""
 
     id: str
     attempt: int
@@ -187,34 +199,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The end of one attempt. `over`: the request needs no further answer."""
+    """The end of one attempt."""
 
     id: str
     attempt: int
     server: str
     outcome: Outcome
     duration: int = 0
-    request_done: bool = False
+    request_done: bool = False  # the request needs no further answer
     note: int = Note.NONE
-    waited: int = 0
+    waited: int = 0  # time that the server waited for the source of its fill
     load: tuple[float, ...] = ()
-    not_modified: bool = (
-        False  # the client's own copy was confirmed: no bytes came, so its time tells no pace
-    )
+    not_modified: bool = False  # the client's copy was confirmed: without a body, the time shows no rate
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
+    """The client gave up the request: no answer is owed."""
+
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
+    """A timer set by SetTimer expired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
+    """The result of a health probe."""
+
     server: str
     outcome: Outcome
     duration: int = 0
@@ -223,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Purged:
-    """Copies of `object` (None: of the whole group) older than `age` ago are out of date."""
+    """Copies of `object` (None: of the whole group) that are older than `age` are out of date."""
 
     group: int | None
     age: int
@@ -238,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """An attempt that takes only what the server holds."""
+    """Sends an attempt that the server answers itself, without a fill."""
 
     id: str
     server: str
@@ -247,61 +263,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """An attempt that names where a miss is filled from, the copy's rank and the oldest copy that will do."""
+    """Sends an attempt that names the source from which the server may fill a miss."""
 
     id: str
     server: str
     timeout: int
     source: str
-    retention_rank: int = 0
-    max_age: int = 0
-    may_join: bool = False
-    only_if_cached: bool = False
-    refresh_in_background: bool = False
+    retention_rank: int = 0  # rank under which the server keeps the filled copy; 0: not told
+    max_age: int = 0  # age of the oldest acceptable copy; 0: the freshness lifetime of the class
+    may_join: bool = False  # the server may make the request wait for a fill under way
+    only_if_cached: bool = False  # the server must not fill
+    refresh_in_background: bool = False  # the server may refresh its copy in the background
 
 
 @dataclass(frozen=True, slots=True)
 class ServeOwnCopy:
-    """Serve the router's own copy."""
+    """Answers the request from the router's own copy."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
+    """Refuses the request. `retry_after`: how long the client should wait; 0: not told."""
+
     id: str
     retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Answers that the request failed; it may have run."""
+
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancels one attempt of a request."""
+
     id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Asks for a TimerDue event with this token after `delay`."""
+
     token: int
     delay: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Asks for a health probe of a server."""
+
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery to send changes from now on."""
+    """Asks discovery to send membership changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Writes a line to the log."""
+
     text: str
 
 
