--- a/onyxpulley/buffers.py
+++ b/onyxpulley/buffers.py
@@ -1,21 +1,27 @@
-"""The one buffer of a connection: it grows as it needs and is compacted in place."""
+"""Receive buffer of a connection: it grows on demand and is compacted in place."""
 
 from __future__ import annotations
 
 
 class Buffer:
-    """`data[start:end]` is what came and was not taken yet. Never larger than `max_size`."""
+    """Bytes received and not yet consumed: `data[start:end]`. The buffer never exceeds `max_size` bytes."""
 
     def __init__(self, min_size: int, max_size: int) -> None:
         self.data = bytearray(min_size)
-        self.min_size, self.max_size = min_size, max_size
-        self.start = self.end = 0
+        self.min_size = min_size
+        self.max_size = max_size
+        self.start = 0
+        self.end = 0
 
     def free_space(self) -> memoryview:
-        """Where the next bytes go. Raises BufferError when the peer sends more than one message may hold."""
+        """The free space behind the data, for the next read; whoever fills it advances `end`.
+
+        Raises BufferError when a message exceeds the maximum size.
+        """
         if self.start == self.end:
-            self.start = self.end = 0
-            if len(self.data) > 4 * self.min_size:  # a large message has passed: give its room back
+            self.start = 0
+            self.end = 0
+            if len(self.data) > 4 * self.min_size:  # grown for a large message, which is consumed
                 self.data = bytearray(self.min_size)
         if len(self.data) - self.end < self.min_size // 2:
             held = self.end - self.start
@@ -24,23 +30,27 @@
             elif len(self.data) >= self.max_size:
                 if not self.start:
                     if self.end == len(self.data):
-                        raise BufferError("message too large")
+                        raise BufferError(f"message larger than {self.max_size} bytes")
                     return memoryview(self.data)[self.end :]
                 self.data[:held] = self.data[self.start : self.end]
             else:
                 larger = bytearray(min(self.max_size, 2 * len(self.data)))
                 larger[:held] = memoryview(self.data)[self.start : self.end]
                 self.data = larger
-            self.start, self.end = 0, held
+            self.start = 0
+            self.end = held
         return memoryview(self.data)[self.end :]
 
     def read_line(self, max_length: int) -> bytes | None:
-        """Takes one line without its end, or None when none is whole yet."""
-        at = self.data.find(b"\n", self.start, self.end)
-        if at < 0:
+        """Consumes one line and returns it without its line end; None while no line is complete.
+
+        Raises BufferError when more than `max_length` bytes hold no line end.
+        """
+        line_end = self.data.find(b"\n", self.start, self.end)
+        if line_end < 0:
             if self.end - self.start > max_length:
-                raise BufferError("line too long")
+                raise BufferError(f"line longer than {max_length} bytes")
             return None
-        found = bytes(memoryview(self.data)[self.start : at])
-        self.start = at + 1
-        return found.removesuffix(b"\r")
+        line = bytes(memoryview(self.data)[self.start : line_end])
+        self.start = line_end + 1
+        return line.removesuffix(b"\r")
--- a/onyxpulley/copy_store.py
+++ b/onyxpulley/copy_store.py
@@ -1,4 +1,4 @@
-"""Copies of its own: what the router lately passed on, kept in bounded memory until a purge or their age."""
+"""The router's own copies of recent answers, held in bounded memory until they are purged or too old."""
 
 from __future__ import annotations
 
@@ -7,76 +7,92 @@
 
 from onyxpulley.clock import now_us
 
-PURGE_MEMORY_US = 60_000_000  # us; far longer than servers take to drop what is older than a purge
-MAX_PURGES = 20_000
-COPY_OVERHEAD_BYTES = 400  # bytes of a copy beside its body
+PURGE_MEMORY_US = 60_000_000  # far longer than servers take to drop the copies that a purge makes invalid
+MAX_PURGES = 20_000  # remembered purges from which on the old ones are dropped
+COPY_OVERHEAD_BYTES = 400  # memory of a copy beside its body
 
-CopyKey = tuple[str, str, int]
+CopyKey = tuple[str, str, int]  # class, object and part
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
+    """An answer that can be served again."""
+
     body: bytes
-    tag: str
-    issued_ms: int  # Unix ms at which the origin gave it out
+    tag: str  # version tag
+    issued_ms: int  # Unix milliseconds at which the origin issued it
     group: int | None
 
 
 class CopyStore:
-    """Least lately used goes first. `max_bytes` 0 keeps nothing."""
+    """Copies by class, object and part, of which the least recently used are evicted first.
+
+    `max_bytes` 0 keeps nothing.
+    """
 
     def __init__(self, max_bytes: int) -> None:
-        self.max_bytes, self.used_bytes = max_bytes, 0
+        self.max_bytes = max_bytes
+        self.used_bytes = 0
         self.entries: OrderedDict[CopyKey, Copy] = OrderedDict()
-        self.purges: dict[tuple[str, object], tuple[int, int]] = {}  # when issued (Unix ms), when told (us)
+        # by object or group: when the purge was issued (Unix ms), and when it arrived (monotonic us)
+        self.purges: dict[tuple[str, object], tuple[int, int]] = {}
 
-    def get(self, name: CopyKey) -> Copy | None:
-        copy = self.entries.get(name)
+    def get(self, key: CopyKey) -> Copy | None:
+        """The copy under this key, which becomes the most recently used one."""
+        copy = self.entries.get(key)
         if copy is not None:
-            self.entries.move_to_end(name)
+            self.entries.move_to_end(key)
         return copy
 
-    def put(self, name: CopyKey, copy: Copy) -> None:
-        """Guards against an answer that was on its way when its object was purged."""
+    def put(self, key: CopyKey, copy: Copy) -> None:
+        """Keeps a copy, unless it is too large, older than the one held, or from before a purge.
+
+        The answer may have been on its way while its object was purged.
+        """
         cost = len(copy.body) + COPY_OVERHEAD_BYTES
         if (
             copy.issued_ms <= 0
             or cost > self.max_bytes // 16
-            or copy.issued_ms <= self._purged(name[1], copy.group)
+            or copy.issued_ms <= self._purged_at(key[1], copy.group)
         ):
             return
-        old = self.entries.get(name)
+        old = self.entries.get(key)
         if old is not None:
             if old.issued_ms > copy.issued_ms:
                 return
-            self._drop(name)
-        self.entries[name] = copy
+            self._drop(key)
+        self.entries[key] = copy
         self.used_bytes += cost
         self.resize(self.max_bytes)
 
     def resize(self, max_bytes: int) -> None:
+        """Sets the memory limit and evicts what exceeds it."""
         self.max_bytes = max_bytes
         while self.used_bytes > self.max_bytes:
             self._drop(next(iter(self.entries)))
 
     def purge(self, object_id: str | None, group: int | None, issued_ms: int) -> None:
-        """Drops at once what is older, and remembers, so that nothing older is taken in again."""
-        key = ("item", object_id) if object_id is not None else ("group", group)
+        """Drops the copies of an object (None: of a whole group) that are no newer than the purge.
+
+        The purge is remembered, so that no such copy is taken in again.
+        """
+        purge_key = ("item", object_id) if object_id is not None else ("group", group)
         now = now_us()
-        self.purges[key] = max(issued_ms, self._issued(key)), now
+        self.purges[purge_key] = max(issued_ms, self._issued_at(purge_key)), now
         if len(self.purges) > MAX_PURGES:
             self.purges = {k: row for k, row in self.purges.items() if now - row[1] < PURGE_MEMORY_US}
-        for name, copy in list(self.entries.items()):
+        for key, copy in list(self.entries.items()):
             if copy.issued_ms <= issued_ms and (
-                name[1] == object_id if object_id is not None else copy.group == group
+                key[1] == object_id if object_id is not None else copy.group == group
             ):
-                self._drop(name)
+                self._drop(key)
 
-    def _purged(self, object_id: str, group: int | None) -> int:
-        return max(self._issued(("item", object_id)), self._issued(("group", group)))
+    def _purged_at(self, object_id: str, group: int | None) -> int:
+        """When the latest purge of this object was issued, in Unix milliseconds; 0: none is known."""
+        return max(self._issued_at(("item", object_id)), self._issued_at(("group", group)))
 
-    def _issued(self, key: tuple[str, object]) -> int:
-        return self.purges.get(key, (0, 0))[0]
+    def _issued_at(self, purge_key: tuple[str, object]) -> int:
+        return self.purges.get(purge_key, (0, 0))[0]
 
-    def _drop(self, name: CopyKey) -> None:
-        self.used_bytes -= len(self.entries.pop(name).body) + COPY_OVERHEAD_BYTES
+    def _drop(self, key: CopyKey) -> None:
+        self.used_bytes -= len(self.entries.pop(key).body) + COPY_OVERHEAD_BYTES
--- a/onyxpulley/core.py
+++ b/onyxpulley/core.py
@@ -1,4 +1,8 @@
-"""The life of a request: taken once, tried by attempts, answered once. Knows no wire and no sockets."""
+"""The life cycle of a request: it is submitted once, attempted at servers, and answered exactly once.
+
+The module is independent of protocols and sockets. Times are microseconds on the monotonic clock, unless a
+name or comment says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +17,11 @@
 from onyxpulley.clock import now_us
 from onyxpulley.copy_store import Copy, CopyStore
 
-RESEND_DELAY = 0.01  # seconds until an attempt is tried again whose client cannot be heard
+RESEND_DELAY = 0.01  # seconds before an attempt is sent again that was held back: its client may have left
 
 
 class Outcome(Enum):
-    """How an attempt ended, as the party that carried it saw it."""
+    """How an attempt ended, as the transport saw it."""
 
     SERVED = "served"
     ABSENT = "absent"
@@ -32,6 +36,7 @@
 
     @property
     def never_ran(self) -> bool:
+        """Whether this outcome proves that the server did not run the request."""
         return self in NEVER_RAN
 
 
@@ -41,57 +46,61 @@
 
 
 class Verdict(Enum):
+    """The kind of the final answer to a request."""
+
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    EXPIRED = "expired"  # the permission ran out before the next attempt
+    EXPIRED = "expired"  # the permission expired before the next attempt
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """The end of one attempt. `note` counts as the platform does; `waited` in microseconds."""
+    """The result of one attempt, with the answer if there is one."""
 
     outcome: Outcome
-    note: int = 0
-    waited: int = 0
+    note: int = 0  # an interface.Note
+    waited: int = 0  # microseconds that the server waited for the source of its fill
     load: tuple[float, ...] = ()
     body: bytes = b""
-    tag: str = ""
-    issued_ms: int = 0  # Unix ms at which the origin gave the copy out
-    not_modified: bool = False  # the client's own copy is the one: no bytes came
+    tag: str = ""  # version tag of the copy
+    issued_ms: int = 0  # Unix milliseconds at which the origin issued the copy
+    not_modified: bool = False  # the client's copy is current: there is no body
 
 
 @dataclass(slots=True)
 class Answer:
+    """The final answer to a request."""
+
     verdict: Verdict
     body: bytes = b""
     tag: str = ""
     not_modified: bool = False
-    retry_after_ms: int = 0  # milliseconds to stay away
+    retry_after_ms: int = 0  # how long the client should wait before it tries again; 0: not told
     may_have_run: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """What a front took. `reply` is called exactly once, unless the client leaves first."""
+    """A request from a client. `reply` is called exactly once, unless the client leaves first."""
 
-    txn: str
+    txn: str  # id that the servers know the request by
     cls: str
     object_id: str
-    deadline: int  # monotonic microseconds
+    deadline: int
     reply: Callable[[Answer], None]
     part: int = 0
     group: int | None = None
     size_kb: float = 0.0
     body: bytes = b""
-    client_tag: str = ""
+    client_tag: str = ""  # version tag of the copy that the client holds
     is_repeat: bool = False
     tenant: str | None = None
-    check_permission: Callable[[], bool] | None = None  # asked before every attempt
-    client_may_have_left: Callable[[], bool] | None = None  # may its client have left unseen?
-    signature: str = ""  # for boxes that want it; never on the platform's wire
-    key: str = ""
-    received_at: int = 0  # when the core took it
+    check_permission: Callable[[], bool] | None = None  # called before every attempt
+    client_may_have_left: Callable[[], bool] | None = None  # true once reads have failed for a while
+    signature: str = ""  # passed on only to the servers that are configured to receive it
+    key: str = ""  # unique within this process; set by Exchange.submit
+    received_at: int = 0
     ended: bool = False
     may_have_run: bool = False
     attempt_count: int = 0
@@ -101,18 +110,20 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
+    """One attempt to have a server answer a request."""
+
     request: Request
     number: int
     server: str
-    source: str | None  # None: no fill
+    source: str | None  # where the server fills a miss from; None: no fill
     deadline: int
     retention_rank: int = 0
-    max_age: int = 0  # microseconds; 0: the fresh time of the class
+    max_age: int = 0  # of the copy; 0: the freshness lifetime of the class
     may_join: bool = False
     only_if_cached: bool = False
     refresh_in_background: bool = False
-    at_most_once: bool = False  # its class may not run twice
-    failed_connections: int = 0  # connections that ended before it was written
+    at_most_once: bool = False  # requests of its class must not run twice
+    failed_connections: int = 0  # connections that ended before the attempt was written
     started_at: int = 0
     written: bool = False
     ended: bool = False
@@ -121,16 +132,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Sends an attempt to its server."""
+
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
+    """Gives up an attempt."""
+
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
+    """Answers a request; attempts that are still out are given up."""
+
     request: Request
     answer: Answer
 
@@ -139,115 +156,154 @@
 
 
 class RoutingPolicy(Protocol):
-    """What the core asks of the decisions."""
+    """The routing decisions, as Exchange uses them."""
+
+    def route(self, request: Request) -> Sequence[Command]:
+        """Decides about a new request: an attempt, or its final answer."""
 
-    def route(self, request: Request) -> Sequence[Command]: ...
     def attempt_finished(
         self, attempt: Attempt, result: AttemptResult, request_done: bool
-    ) -> Sequence[Command]: ...
-    def run_due_timers(self) -> Sequence[Command]: ...
-    def client_left(self, request: Request) -> Sequence[Command]: ...
-    def answer_now(self, request: Request) -> Sequence[Command]: ...
-    def is_cacheable(self, cls: str) -> bool: ...
-    def recheck(self, attempt: Attempt) -> bool: ...
-    def next_timer_in(self) -> float | None: ...
-    def retry_after_ms(self) -> int: ...
+    ) -> Sequence[Command]:
+        """Decides what follows an attempt. `request_done`: the request needs no further answer."""
+
+    def run_due_timers(self) -> Sequence[Command]:
+        """Runs the timers that are due."""
+
+    def client_left(self, request: Request) -> Sequence[Command]:
+        """Notes that no answer is owed any more."""
+
+    def answer_now(self, request: Request) -> Sequence[Command]:
+        """Decides on the final answer at once, whatever attempts are out."""
+
+    def is_cacheable(self, cls: str) -> bool:
+        """Whether answers of this class may be kept as copies."""
+
+    def recheck(self, attempt: Attempt) -> bool:
+        """Whether an attempt that has waited may still be written. Updates its bound on the age of a copy."""
+
+    def next_timer_in(self) -> float | None:
+        """Seconds until the next timer is due; None without timers."""
+
+    def retry_after_ms(self) -> int:
+        """How long a client should wait that is refused without a decision, in milliseconds; 0: not told."""
 
 
 class Transport(Protocol):
-    """Whoever takes attempts to servers."""
+    """Carries attempts to servers."""
+
+    def send(self, attempt: Attempt) -> None:
+        """Queues an attempt. The result comes by Exchange.finish."""
 
-    def send(self, attempt: Attempt) -> None: ...
-    def abort(self, attempt: Attempt) -> None: ...
+    def abort(self, attempt: Attempt) -> None:
+        """Gives up an attempt; its answer, should it still come, is ignored."""
 
 
 class Observer(Protocol):
-    """Whoever records what happens."""
+    """Records answers and attempts."""
 
-    def answered(self, cls: str, verdict: str, took_us: int) -> None: ...
-    def attempted(self, server: str, outcome: str, took_us: int, load: tuple[float, ...] = ()) -> None: ...
+    def answered(self, cls: str, verdict: str, took_us: int) -> None:
+        """A request got its final answer."""
+
+    def attempted(self, server: str, outcome: str, took_us: int, load: tuple[float, ...] = ()) -> None:
+        """An attempt ended. `load`: the load that its server reported."""
 
 
 class RequestLimits(Protocol):
-    """What the open requests may take together."""
+    """Limits on all open requests together."""
 
     most_open: int
-    bodies: int  # bytes that they brought
+    bodies: int  # bytes of all request bodies
 
 
 class Exchange:
-    """All open requests of the program. Single-threaded; never calls itself while orders are carried out."""
+    """All open requests of the process, from submission to the final answer.
+
+    Runs on one thread. Commands that come up while others are executed are queued behind them.
+    """
 
     def __init__(
         self, policy: RoutingPolicy, transport: Transport, limits: RequestLimits, copies: CopyStore
     ) -> None:
-        self.policy, self.transport, self.limits = policy, transport, limits
+        self.policy = policy
+        self.transport = transport
+        self.limits = limits
         self.copies = copies
-        self.open_requests: dict[str, Request] = {}
-        self.open_txns: set[str] = set()  # of the open ones
-        self.answer_counts: Counter[tuple[str, Verdict]] = Counter()  # by class
-        self.closing = False  # nothing new is begun: the router is leaving
-        self.ending = False  # the same without an exception: the process ends
-        self.serial = self.body_bytes = 0
-        self.read_pending: Callable[[], None] = lambda: None  # takes in what was told and not read yet
+        self.open_requests: dict[str, Request] = {}  # by key
+        self.open_txns: set[str] = set()
+        self.answer_counts: Counter[tuple[str, Verdict]] = Counter()  # by class and verdict
+        self.closing = False  # draining: new requests are refused, except the first one of a connection
+        self.ending = False  # the process ends: all new requests are refused
+        self.serial = 0
+        self.body_bytes = 0  # of the open requests
+        self.read_pending: Callable[[], None] = lambda: None  # reads discovery updates that have arrived
         self.observer: Observer | None = None
         self._queue: list[Command] = []
         self._busy = False
-        self._alarm: asyncio.TimerHandle | None = None
-        self._alarm_at = 0.0
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0.0  # by the clock of the event loop
 
     # ---- Called by the fronts
     def submit(self, request: Request, is_first: bool = False) -> None:
-        """`is_first` on its connection: it may have been long in coming, so also one that leaves takes it."""
+        """Takes a new request.
+
+        `is_first`: the first one of its connection, which may have been on its way before the drain began, so
+        it is accepted while draining.
+        """
         self.read_pending()
         self.serial += 1
-        request.key, request.received_at = f"q{self.serial}", now_us()
-        self.body_bytes += len(request.body)  # both bound the memory of all open requests together
-        if self.ending or (self.closing and not is_first) or self._full():
+        request.key = f"q{self.serial}"
+        request.received_at = now_us()
+        self.body_bytes += len(request.body)
+        if self.ending or (self.closing and not is_first) or self._is_full():
             metrics.count("refused.closing" if self.closing or self.ending else "refused.full")
             self._answer(request, Answer(Verdict.REFUSED, retry_after_ms=self.policy.retry_after_ms()))
             return
-        if request.txn in self.open_txns:  # servers know a request by it: two would get each other's answers
+        if request.txn in self.open_txns:  # servers tell requests apart by it: the answers could be swapped
             metrics.count("failed.id_in_use")
             self._answer(request, Answer(Verdict.FAILED))
             return
         self.open_requests[request.key] = request
         self.open_txns.add(request.txn)
         request.own_copy = self.copies.get((request.cls, request.object_id, request.part))
-        self._decide(request, lambda: self.policy.route(request))
+        self._run_decision(request, lambda: self.policy.route(request))
 
-    def _full(self) -> bool:
+    def _is_full(self) -> bool:
+        """Whether the limits that bound the memory of all open requests are reached."""
         return len(self.open_requests) >= self.limits.most_open or self.body_bytes > self.limits.bodies
 
     def client_left(self, request: Request) -> None:
-        """The client stopped waiting: no answer is owed, what is out is given up."""
+        """Drops a request whose client no longer waits, and gives up its attempts."""
         if request.ended:
             return
-        self._end(request)
-        self._decide(request, lambda: self.policy.client_left(request))
-        self._withdraw(request)
+        self._mark_ended(request)
+        self._run_decision(request, lambda: self.policy.client_left(request))
+        self._abort_attempts(request)
 
     def finish_all(self) -> None:
-        """The last moment of a drain: everything still open gets the final answer that the rules allow, and
-        whatever comes is refused."""
+        """Ends a drain: answers every open request at once, and refuses all new ones."""
         self.ending = True
         for request in list(self.open_requests.values()):
             self.answer_now(request)
 
     def answer_now(self, request: Request) -> None:
-        self._decide(request, lambda: self.policy.answer_now(request))
+        """Answers a request at once, whatever attempts are out."""
+        self._run_decision(request, lambda: self.policy.answer_now(request))
 
-    # ---- Called by the carrier
+    # ---- Called by the transport
     def check_before_write(self, attempt: Attempt) -> bool:
-        """Right before its first byte. Guards against a drain, a purge, a cold start or an expiry since it
-        was queued, also against one that was told but waits unread behind the work of this moment."""
+        """Whether an attempt may be written, checked right before its first byte.
+
+        Since it was queued, a server may have begun to drain or have started cold, the object may have been
+        purged, or the permission may have expired. Updates from discovery that have arrived but were not read
+        yet count as well, so they are read first.
+        """
         self.read_pending()
         if attempt.ended or attempt.request.ended:
             return False
-        if not self._permitted(attempt.request):
+        if not self._is_permitted(attempt.request):
             return False
         if attempt.request.client_may_have_left is not None and attempt.request.client_may_have_left():
-            asyncio.get_running_loop().call_later(RESEND_DELAY, self._send_again, attempt)
+            asyncio.get_running_loop().call_later(RESEND_DELAY, self._resend, attempt)
             return False
         if now_us() >= attempt.deadline:
             self.time_out(attempt)
@@ -257,24 +313,25 @@
             return False
         return True
 
-    def _send_again(self, attempt: Attempt) -> None:
+    def _resend(self, attempt: Attempt) -> None:
         if not attempt.ended:
             self.transport.send(attempt)
 
     @staticmethod
     def write_started(attempt: Attempt) -> None:
-        """Its first byte has left: from now on it may run."""
-        attempt.written = attempt.request.may_have_run = True
+        """Notes that the first byte of an attempt was sent: from now on the request may run."""
+        attempt.written = True
+        attempt.request.may_have_run = True
 
     def finish(self, attempt: Attempt, result: AttemptResult) -> None:
-        """The end of an attempt; whatever comes after the first is ignored."""
+        """Takes the result of an attempt. Only the first one counts."""
         if attempt.ended:
             return
-        self._close(attempt)
+        self._close_attempt(attempt)
         request = attempt.request
         if self.observer is not None:
-            took = now_us() - attempt.started_at
-            self.observer.attempted(attempt.server, result.outcome.value, took, result.load)
+            took_us = now_us() - attempt.started_at
+            self.observer.attempted(attempt.server, result.outcome.value, took_us, result.load)
         metrics.count(f"attempt.{result.outcome.name.lower()}")
         if result.outcome.never_ran:
             request.may_have_run = any(a.written for a in request.attempts if a is not attempt)
@@ -283,81 +340,90 @@
         if served:
             self._answer(request, Answer(Verdict.SERVED, result.body, result.tag, result.not_modified))
             if self.policy.is_cacheable(request.cls):
-                self._keep(request, result)
-        self._decide(
+                self._store_copy(request, result)
+        self._run_decision(
             request, lambda: self.policy.attempt_finished(attempt, result, request_done=request.ended)
         )
         if served:
-            self._withdraw(request)
-
-    def _keep(self, request: Request, result: AttemptResult) -> None:
-        """What came is kept; a confirmation of the client's copy makes an own one of the same tag younger."""
-        name, body = (request.cls, request.object_id, request.part), result.body
+            self._abort_attempts(request)
+
+    def _store_copy(self, request: Request, result: AttemptResult) -> None:
+        """Keeps the answer as a copy. Where the server confirmed the client's copy instead, an own copy with
+        the same tag is renewed.
+        """
+        key = (request.cls, request.object_id, request.part)
+        body = result.body
         if result.not_modified:
-            own = self.copies.get(name)
-            if own is None or not result.tag or own.tag != result.tag:
+            own_copy = self.copies.get(key)
+            if own_copy is None or not result.tag or own_copy.tag != result.tag:
                 return
-            body = own.body
-        self.copies.put(name, Copy(body, result.tag, result.issued_ms, request.group))
+            body = own_copy.body
+        self.copies.put(key, Copy(body, result.tag, result.issued_ms, request.group))
 
     def time_out(self, attempt: Attempt) -> None:
+        """Gives up an attempt that passed its deadline."""
         if not attempt.ended:
             self.transport.abort(attempt)
             self.finish(attempt, AttemptResult(Outcome.TIMED_OUT))
 
-    # ---- Orders
+    # ---- Commands
     def execute(self, commands: Sequence[Command]) -> None:
+        """Executes commands in order, behind those that are already queued."""
         self._queue.extend(commands)
         if self._busy:
             return
         self._busy = True
         try:
             while self._queue:
-                todo, self._queue = self._queue, []
-                for order in todo:
-                    self._contained(order)
+                batch, self._queue = self._queue, []
+                for command in batch:
+                    self._execute_contained(command)
         finally:
             self._busy = False
-        self._set_alarm()
+        self._schedule_timer()
+
+    def _run_decision(self, request: Request, decision: Callable[[], Sequence[Command]]) -> None:
+        """Makes a decision and executes its commands.
 
-    def _decide(self, request: Request, decision: Callable[[], Sequence[Command]]) -> None:
-        """Carries out what a decision orders. One that fails ends its own request with an answer and nobody
-        else's: the caller may be the connection of another client."""
+        An exception fails the request that the decision is about. It is not passed on, since the caller may
+        be serving the connection of another client.
+        """
         try:
-            orders = decision()
+            commands = decision()
         except Exception as problem:
-            self._fail(request, problem)
+            self._fail_request(request, problem)
             return
-        self.execute(orders)
+        self.execute(commands)
 
-    def _contained(self, order: Command) -> None:
-        """The same for one order: those behind it are carried out all the same."""
+    def _execute_contained(self, command: Command) -> None:
+        """Executes one command. An exception fails its request only: the commands behind it are executed."""
         try:
-            self._one(order)
+            self._execute_one(command)
         except Exception as problem:
-            self._fail(order.request if isinstance(order, Reply) else order.attempt.request, problem)
+            request = command.request if isinstance(command, Reply) else command.attempt.request
+            self._fail_request(request, problem)
 
-    def _fail(self, request: Request, problem: Exception) -> None:
+    def _fail_request(self, request: Request, problem: Exception) -> None:
         metrics.count(f"internal_error.{type(problem).__name__}")
         logs.event("core", "internal_error", id=request.txn, why=repr(problem))
         if not request.ended:
             self._answer(request, Answer(Verdict.FAILED, may_have_run=request.may_have_run))
-        self._withdraw(request)
+        self._abort_attempts(request)
 
-    def _one(self, order: Command) -> None:
-        if isinstance(order, Reply):
-            order.answer.may_have_run = order.request.may_have_run
-            self._answer(order.request, order.answer)
-            self._withdraw(order.request)
+    def _execute_one(self, command: Command) -> None:
+        if isinstance(command, Reply):
+            command.answer.may_have_run = command.request.may_have_run
+            self._answer(command.request, command.answer)
+            self._abort_attempts(command.request)
             return
-        attempt = order.attempt
-        if isinstance(order, Abort):
+        attempt = command.attempt
+        if isinstance(command, Abort):
             if not attempt.ended:
                 self.transport.abort(attempt)
                 self.finish(attempt, AttemptResult(Outcome.ABORTED))
             return
         request = attempt.request
-        if request.ended or not self._permitted(request):
+        if request.ended or not self._is_permitted(request):
             attempt.ended = True
             return
         attempt.started_at = now_us()
@@ -366,20 +432,22 @@
         attempt.timer = asyncio.get_running_loop().call_later(delay, self.time_out, attempt)
         self.transport.send(attempt)
 
-    def _permitted(self, request: Request) -> bool:
-        """Guards against a permission that ran out since: ends at once, claims no more than is known."""
+    def _is_permitted(self, request: Request) -> bool:
+        """Whether the client still has permission. If not, the request is answered as expired, and the answer
+        tells whether it may have run.
+        """
         if request.check_permission is None or request.check_permission():
             return True
         if not request.ended:
             self._answer(request, Answer(Verdict.EXPIRED, may_have_run=request.may_have_run))
             self.execute(self.policy.client_left(request))
-            self._withdraw(request)
+            self._abort_attempts(request)
         return False
 
     def _answer(self, request: Request, answer: Answer) -> None:
         if request.ended:
             return
-        self._end(request)
+        self._mark_ended(request)
         self.answer_counts[request.cls, answer.verdict] += 1
         if answer.verdict is not Verdict.SERVED:
             self._log_unserved(request, answer)
@@ -389,8 +457,8 @@
 
     @staticmethod
     def _log_unserved(request: Request, answer: Answer) -> None:
-        took = (now_us() - request.received_at) // 1000
-        left = (request.deadline - now_us()) // 1000
+        took_ms = (now_us() - request.received_at) // 1000
+        left_ms = (request.deadline - now_us()) // 1000
         logs.event(
             "request",
             answer.verdict.value,
@@ -398,46 +466,48 @@
             cls=request.cls,
             attempts=request.attempt_count,
             may_have_run=request.may_have_run,
-            took_ms=took,
-            left_ms=left,
+            took_ms=took_ms,
+            left_ms=left_ms,
         )
 
-    def _end(self, request: Request) -> None:
+    def _mark_ended(self, request: Request) -> None:
         request.ended = True
         if self.open_requests.pop(request.key, None) is not None:
             self.open_txns.discard(request.txn)
         self.body_bytes -= len(request.body)
 
-    def _withdraw(self, request: Request) -> None:
+    def _abort_attempts(self, request: Request) -> None:
+        """Gives up all attempts of a request that are still out."""
         for attempt in request.attempts:
             if not attempt.ended:
-                self._close(attempt)
+                self._close_attempt(attempt)
                 self.transport.abort(attempt)
                 if self.observer is not None:
-                    took = now_us() - attempt.started_at
-                    self.observer.attempted(attempt.server, Outcome.ABORTED.value, took)
-        request.attempts.clear()  # each holds the request: both would stay until a collection
+                    took_us = now_us() - attempt.started_at
+                    self.observer.attempted(attempt.server, Outcome.ABORTED.value, took_us)
+        request.attempts.clear()  # breaks the reference cycle, which would last until a garbage collection
 
     @staticmethod
-    def _close(attempt: Attempt) -> None:
+    def _close_attempt(attempt: Attempt) -> None:
         attempt.ended = True
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
 
-    # ---- The decisions' own timers
-    def _set_alarm(self) -> None:
+    # ---- Timers of the routing policy
+    def _schedule_timer(self) -> None:
         wait = self.policy.next_timer_in()
         if wait is None:
             return
         loop = asyncio.get_running_loop()
-        at = loop.time() + wait
-        if self._alarm is not None:
-            if self._alarm_at <= at:
+        due_at = loop.time() + wait
+        if self._timer is not None:
+            if self._timer_at <= due_at:
                 return
-            self._alarm.cancel()
-        self._alarm, self._alarm_at = loop.call_at(at, self._ring), at
+            self._timer.cancel()
+        self._timer = loop.call_at(due_at, self._timer_due)
+        self._timer_at = due_at
 
-    def _ring(self) -> None:
-        self._alarm = None
+    def _timer_due(self) -> None:
+        self._timer = None
         self.execute(self.policy.run_due_timers())
--- a/onyxpulley/fields.py
+++ b/onyxpulley/fields.py
@@ -1,21 +1,27 @@
-"""`name=value,name=value`, the field lists of both platform wires."""
+"""Field lists of the form `name=value,name=value`, as in the protocols of the clients and the servers."""
 
 from __future__ import annotations
 
 
 def parse(text: str) -> dict[str, str]:
-    """Raises ValueError where a field has no name, no `=` or comes twice."""
+    """Parses a field list; empty text and `-` have no fields.
+
+    Raises ValueError where a field has no name or no `=`, or where a name comes twice.
+    """
     found: dict[str, str] = {}
     for pair in text.split(",") if text and text != "-" else ():
-        name, mark, value = pair.partition("=")
-        if not name or not mark or name in found:
+        name, separator, value = pair.partition("=")
+        if not name or not separator or name in found:
             raise ValueError(f"bad field {pair[:40]!r}")
         found[name] = value
     return found
 
 
 def parse_number(text: str, minimum: int, maximum: int) -> int:
-    """A plain decimal number in bounds, nothing else that int() would take."""
+    """Parses a plain decimal number: int() would also accept signs, spaces, underscores and other digits.
+
+    Raises ValueError on other text and on a number out of bounds.
+    """
     if not (text.isascii() and text.isdigit()) or len(text) > 19:
         raise ValueError(f"not a number: {text[:40]!r}")
     value = int(text)
