--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -1,4 +1,8 @@
-"""The decision module in blocking style: pick, report, tick. Events, actions and timers stay in here."""
+"""Adapter between request handling and the routing decisions.
+
+It turns requests, results and discovery updates into events of the router, and the router's actions into
+commands. The router's timers are kept here.
+"""
 
 from __future__ import annotations
 
@@ -42,11 +46,12 @@
     "Terminating": api.ServerState.DRAINING,
     "Gone": api.ServerState.GONE,
 }
+MAX_RETRY_AFTER_MS = 500  # for clients that are refused without a decision
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One line of the list, as the bulletin words it. `boot_ms`: Unix, or 0."""
+    """One server of the membership list, in the values of the discovery protocol."""
 
     uid: str
     endpoint: str
@@ -55,10 +60,15 @@
     cell: int
     state: str
     weight: float
-    boot_ms: int
+    boot_ms: int  # Unix milliseconds of its start; 0: not told
 
 
 class DecisionAdapter:
+    """The routing policy of Exchange, decided by a Router.
+
+    `link_transfers` and `max_tracked_objects` complete the settings object `params`.
+    """
+
     def __init__(
         self,
         params: Json,
@@ -67,7 +77,7 @@
         max_tracked_objects: int = 40_000,
         clock: Callable[[], int] = now_us,
     ) -> None:
-        self._read(
+        self._use_settings(
             replace(
                 read_settings(params), link_transfers=link_transfers, max_tracked_objects=max_tracked_objects
             )
@@ -75,25 +85,23 @@
         self.clock = clock
         self.platform_clock = PlatformClock(clock)
         self.router = Router(self.settings, seed)
-        self.open_requests: dict[str, Request] = {}
-        self.timers: list[tuple[int, int]] = []
+        self.open_requests: dict[str, Request] = {}  # by key
+        self.timers: list[tuple[int, int]] = []  # heap of due times and tokens
         self.log: Callable[[str], None] = logs.say
 
     def configure(self, params: Json, link_transfers: float, max_tracked_objects: int) -> None:
-        """Other settings from now on. Raises BadConfig on those that would change what servers are to it."""
-        new, old = (
-            replace(
-                read_settings(params), link_transfers=link_transfers, max_tracked_objects=max_tracked_objects
-            ),
-            self.settings,
+        """Applies new settings. Raises BadConfig on a change of the zone or of the kinds of servers."""
+        new = replace(
+            read_settings(params), link_transfers=link_transfers, max_tracked_objects=max_tracked_objects
         )
+        old = self.settings
         if (new.zone, new.parent_kind, new.origin_kind) != (old.zone, old.parent_kind, old.origin_kind):
             raise BadConfig("zone and kinds take a restart")
         if new != old:
-            self._read(new)
+            self._use_settings(new)
             self.router.configure(new)
 
-    def _read(self, settings: api.Settings) -> None:
+    def _use_settings(self, settings: api.Settings) -> None:
         self.settings = settings
         self.cacheable_classes = frozenset(c.name for c in settings.classes if not c.uncached)
         self.class_names = frozenset(c.name for c in settings.classes)
@@ -101,54 +109,59 @@
         self.load_fields = settings.load_report_fields
 
     def is_safe(self, cls: str) -> bool:
+        """Whether requests of this class may run twice."""
         return cls in self.safe_classes
 
     def is_cacheable(self, cls: str) -> bool:
+        """Whether answers of this class may be kept as copies."""
         return cls in self.cacheable_classes
 
     def deadline_ms(self, cls: str) -> int:
+        """The deadline of a known class, in milliseconds after its arrival."""
         return next(c.deadline for c in self.settings.classes if c.name == cls) // 1000
 
     def retry_after_ms(self) -> int:
-        """Milliseconds that a client is told whom the router itself turns away, if the settings allow it."""
-        return min(500, self.settings.max_retry_after // 1000) if self.settings.sends_retry_after else 0
+        """How long a client should wait that is refused without a decision, in milliseconds; 0: not told."""
+        settings = self.settings
+        return min(MAX_RETRY_AFTER_MS, settings.max_retry_after // 1000) if settings.sends_retry_after else 0
 
     def server_counts(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of them the module avoids now."""
+        """The number of listed servers, and how many of the ready ones the router avoids now."""
         known = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
         ready = [s for s in known if s.state is api.ServerState.READY]
         return len(known), sum(not self.router.usable(s) for s in ready)
 
     # ---- Requests
     def route(self, request: Request) -> Sequence[Command]:
-        """What to do with a new request: an attempt, or its final answer."""
+        """Decides about a new request: an attempt, or its final answer."""
         self.open_requests[request.key] = request
-        left = request.deadline - self.clock()
-        return self._tell(
+        time_left = request.deadline - self.clock()
+        own_copy = request.own_copy
+        return self._handle(
             api.Request(
                 request.key,
                 request.cls,
                 request.object_id,
-                left,
+                time_left,
                 request.group,
                 request.size_kb,
                 request.part,
                 is_repeat=request.is_repeat,
                 tenant=request.tenant,
-                own_copy_age=self.platform_clock.most_age_us(request.own_copy.issued_ms)
-                if request.own_copy is not None
+                own_copy_age=self.platform_clock.most_age_us(own_copy.issued_ms)
+                if own_copy is not None
                 else None,
-                client_has_copy=request.own_copy is not None
+                client_has_copy=own_copy is not None
                 and bool(request.client_tag)
-                and request.client_tag == request.own_copy.tag,
+                and request.client_tag == own_copy.tag,
             )
         )
 
     def attempt_finished(
         self, attempt: Attempt, result: AttemptResult, request_done: bool
     ) -> Sequence[Command]:
-        """How an attempt ended; what to do next."""
-        orders = self._tell(
+        """Decides what follows an attempt. `request_done`: the request needs no further answer."""
+        commands = self._handle(
             api.Finished(
                 attempt.request.key,
                 attempt.number,
@@ -164,38 +177,45 @@
         )
         if request_done:
             self.open_requests.pop(attempt.request.key, None)
-        return orders
+        return commands
 
     def run_due_timers(self) -> Sequence[Command]:
-        """The module's timers that are due."""
-        now, orders = self.clock(), list[Command]()
+        """Passes the timers that are due to the router."""
+        now = self.clock()
+        commands = list[Command]()
         while self.timers and self.timers[0][0] <= now:
-            orders += self._tell(api.TimerDue(heapq.heappop(self.timers)[1]))
-        return orders
+            commands += self._handle(api.TimerDue(heapq.heappop(self.timers)[1]))
+        return commands
 
     def next_timer_in(self) -> float | None:
+        """Seconds until the next timer is due; None without timers."""
         return max(0.0, (self.timers[0][0] - self.clock()) / 1e6) if self.timers else None
 
     def client_left(self, request: Request) -> Sequence[Command]:
-        orders = self._tell(api.ClientGone(request.key))
+        """Notes that no answer is owed any more."""
+        commands = self._handle(api.ClientGone(request.key))
         self.open_requests.pop(request.key, None)
-        return orders
+        return commands
 
     def answer_now(self, request: Request) -> Sequence[Command]:
-        """The final answer now, whatever is out."""
-        return self._orders(self.router.settle(self.clock(), request.key))
+        """Decides on the final answer at once, whatever attempts are out."""
+        return self._to_commands(self.router.settle(self.clock(), request.key))
 
     def recheck(self, attempt: Attempt) -> bool:
-        """May it still be written? Renews the age bound, which a purge may have tightened meanwhile."""
-        newer = self.router.recheck(self.clock(), attempt.request.key, attempt.number)
-        if newer is None:
+        """Whether an attempt that has waited may still be written.
+
+        Updates its bound on the age of a copy, which a purge may have tightened.
+        """
+        max_age = self.router.recheck(self.clock(), attempt.request.key, attempt.number)
+        if max_age is None:
             return False
-        attempt.max_age = newer
+        attempt.max_age = max_age
         return True
 
-    # ---- The list
+    # ---- Discovery
     def update_servers(self, full: bool, members: Sequence[Member]) -> Sequence[Command]:
-        rows = tuple(
+        """Takes the membership list (`full`) or changes of it."""
+        entries = tuple(
             api.ServerEntry(
                 m.uid,
                 m.zone,
@@ -208,35 +228,41 @@
             )
             for m in members
         )
-        return self._tell(api.MembershipUpdate(api.UpdateKind.FULL if full else api.UpdateKind.CHANGES, rows))
+        kind = api.UpdateKind.FULL if full else api.UpdateKind.CHANGES
+        return self._handle(api.MembershipUpdate(kind, entries))
 
     def purge(
         self, object_id: str | None, group: int | None, issued_ms: int, is_live: bool = True
     ) -> Sequence[Command]:
-        """A purge that is told now counts from now; one that is known at the start is as old as is sure."""
+        """Takes a purge of an object or of a whole group.
+
+        A live one counts from now; one that was known at the start is as old as the platform's stamps prove.
+        """
         age = 0 if is_live else self.platform_clock.least_age_us(issued_ms)
-        return self._tell(api.Purged(group, age, object_id))
+        return self._handle(api.Purged(group, age, object_id))
 
-    # ---- Translation
-    def _tell(self, event: api.Event) -> list[Command]:
-        return self._orders(self.router.handle(self.clock(), event))
+    # ---- Translation of events and actions
+    def _handle(self, event: api.Event) -> list[Command]:
+        return self._to_commands(self.router.handle(self.clock(), event))
 
-    def _orders(self, actions: Sequence[api.Action]) -> list[Command]:
-        orders: list[Command] = []
+    def _to_commands(self, actions: Sequence[api.Action]) -> list[Command]:
+        """The commands for these actions. Timers are set and log lines written here."""
+        commands: list[Command] = []
         for action in actions:
             if isinstance(action, api.SetTimer):
                 heapq.heappush(self.timers, (self.clock() + action.delay, action.token))
             elif isinstance(action, api.Log):
                 self.log(action.text)
             elif isinstance(
-                action, api.Forward | api.Fetch | api.ServeOwnCopy | api.Refuse | api.Fail | api.Cancel
+                action,
+                api.Forward | api.Fetch | api.ServeOwnCopy | api.Refuse | api.Fail | api.Cancel,
             ):
                 request = self.open_requests.get(action.id)
                 if request is not None:
-                    orders += self._order(request, action)
-        return orders
+                    commands += self._to_command(request, action)
+        return commands
 
-    def _order(
+    def _to_command(
         self,
         request: Request,
         action: api.Forward | api.Fetch | api.ServeOwnCopy | api.Refuse | api.Fail | api.Cancel,
@@ -246,8 +272,9 @@
                 self.open_requests.pop(request.key, None)
                 copy = request.own_copy
                 assert copy is not None
-                same = request.client_tag == copy.tag != ""
-                return [Reply(request, Answer(Verdict.SERVED, b"" if same else copy.body, copy.tag, same))]
+                not_modified = request.client_tag == copy.tag != ""
+                body = b"" if not_modified else copy.body
+                return [Reply(request, Answer(Verdict.SERVED, body, copy.tag, not_modified))]
             case api.Refuse():
                 self.open_requests.pop(request.key, None)
                 return [Reply(request, Answer(Verdict.REFUSED, retry_after_ms=action.retry_after // 1000))]
@@ -256,19 +283,15 @@
                 return [Reply(request, Answer(Verdict.FAILED))]
             case api.Cancel():
                 return [Abort(a) for a in request.attempts if a.number == action.attempt]
-        until = min(request.deadline, self.clock() + action.timeout)
-        attempt = Attempt(request, request.attempt_count, action.server, None, until)
+        deadline = min(request.deadline, self.clock() + action.timeout)
+        attempt = Attempt(request, request.attempt_count, action.server, None, deadline)
         request.attempt_count += 1
         attempt.at_most_once = not self.is_safe(request.cls)
         if isinstance(action, api.Fetch):
             attempt.source = action.source if action.source != action.server else None
-            attempt.retention_rank, attempt.max_age, attempt.may_join = (
-                action.retention_rank,
-                action.max_age,
-                action.may_join,
-            )
-            attempt.only_if_cached, attempt.refresh_in_background = (
-                action.only_if_cached,
-                action.refresh_in_background,
-            )
+            attempt.retention_rank = action.retention_rank
+            attempt.max_age = action.max_age
+            attempt.may_join = action.may_join
+            attempt.only_if_cached = action.only_if_cached
+            attempt.refresh_in_background = action.refresh_in_background
         return [Send(attempt)]
