--- a/onyxpulley/__init__.py
+++ b/onyxpulley/__init__.py
@@ -1,4 +1,4 @@
-"""onyxpulley: the decisions of a cache router."""
+"""A request router for cache clusters. `Router` makes its routing decisions."""
 
 from onyxpulley.control import Router
 
--- a/onyxpulley/simulator_adapter.py
+++ b/onyxpulley/simulator_adapter.py
@@ -1,4 +1,7 @@
-"""The adapter: JSON lines of the simulator's wire to events and back. It decides nothing."""
+"""Adapter for the simulator: JSON lines on standard input become events, and actions become JSON lines.
+
+One process holds the routers of several instances. The adapter makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
     "skipped": api.Outcome.NEVER_SENT,
     "enoent": api.Outcome.MISS,
 }
-LIST_KINDS = {
+UPDATE_KINDS = {
     1: api.UpdateKind.CHANGES,
     4: api.UpdateKind.FULL,
     2: api.UpdateKind.CACHED,
@@ -31,10 +34,10 @@
 
 
 class MalformedLine(Exception):
-    """A line that is not what the wire promises."""
+    """A line that does not follow the simulator's protocol."""
 
 
-def _entry(row: Json) -> api.ServerEntry:
+def _decode_entry(row: Json) -> api.ServerEntry:
     return api.ServerEntry(
         server=str(row["server"]),
         zone=str(get_or_default(row, "regionPart", "")),
@@ -46,12 +49,15 @@
     )
 
 
-def _load(item: Json) -> tuple[float, ...]:
-    return tuple(float(item_or_default([v], 0, 0.0)) for v in get_or_default(item, "serverStats", []))
+def _decode_load(item: Json) -> tuple[float, ...]:
+    return tuple(float(item_or_default([value], 0, 0.0)) for value in get_or_default(item, "serverStats", []))
 
 
 def decode_event(item: Json) -> api.Event | None:
-    """One event, or None for a kind that is not known."""
+    """The event of an item, or None where its kind is unknown.
+
+    Raises KeyError, ValueError, TypeError, AttributeError or IndexError where it cannot be read.
+    """
     match item["op"]:
         case "newRequest":
             group = item.get("batchId")
@@ -77,7 +83,7 @@
                 request_done=bool(get_or_default(item, "over", False)),
                 note=int(get_or_default(item, "info", 0)),
                 waited=int(get_or_default(item, "sourceWait", 0)),
-                load=_load(item),
+                load=_decode_load(item),
             )
         case "ring":
             return api.TimerDue(int(item["nonce"]))
@@ -86,7 +92,9 @@
         case "announce":
             rows = get_or_default(item, "membersList", [])
             version = int(get_or_default(item, "stamp", 0))
-            return api.MembershipUpdate(LIST_KINDS[item["scope"]], tuple(_entry(r) for r in rows), version)
+            return api.MembershipUpdate(
+                UPDATE_KINDS[item["scope"]], tuple(_decode_entry(row) for row in rows), version
+            )
         case "recalled":
             group = item.get("familyId")
             group = None if group is None else int(group)
@@ -94,7 +102,7 @@
         case "probeResult":
             outcome = OUTCOMES[item["reason"]]
             return api.Probed(
-                str(item["server"]), outcome, int(get_or_default(item, "timeTaken", 0)), _load(item)
+                str(item["server"]), outcome, int(get_or_default(item, "timeTaken", 0)), _decode_load(item)
             )
         case "underWay":
             return api.StreamStarted(item["ref"], int(get_or_default(item, "roundNo", 0)))
@@ -102,6 +110,7 @@
 
 
 def encode_action(instance: int, action: api.Action) -> Json:
+    """The item for an action of an instance's router. Raises ValueError for one that the simulator lacks."""
     match action:
         case api.Fetch():
             manner = action.may_join * 1 + action.only_if_cached * 2 + action.refresh_in_background * 8
@@ -143,27 +152,31 @@
 
 
 class SimulatorAdapter:
-    """All instances of one process, each a Router of its own."""
+    """The routers of all instances in this process, by instance number."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def process_line(self, line: str) -> str:
+        """Handles the events of one input line and returns the line of their actions.
+
+        Raises MalformedLine, before any event is handled, where the input cannot be read.
+        """
         try:
             frame = json.loads(line)
             now = int(frame["t"])
-            steps = [(int(item["i"]), item["op"], self._read(item)) for item in frame["items"]]
+            events = [(int(item["i"]), item["op"], self._decode(item)) for item in frame["items"]]
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
             raise MalformedLine(f"{type(problem).__name__}: {problem}") from problem
-        output = [row for step in steps for row in self._one(now, *step)]
+        output = [row for event in events for row in self._run(now, *event)]
         return json.dumps({"output": output}, separators=(",", ":"))
 
-    def _read(self, item: Json) -> api.Event | tuple[api.Settings, int] | None:
+    def _decode(self, item: Json) -> api.Event | tuple[api.Settings, int] | None:
         if item["op"] == "powerOn":
             return read_settings(item["params"]), int(item["randomSeed"])
         return decode_event(item)
 
-    def _one(
+    def _run(
         self, now: int, instance: int, op: str, event: api.Event | tuple[api.Settings, int] | None
     ) -> Iterator[Json]:
         if isinstance(event, tuple):
@@ -176,12 +189,13 @@
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    drill = SimulatorAdapter()
+    """Runs until the input ends. Returns the exit code: 1 after a malformed line."""
+    adapter = SimulatorAdapter()
     for line in source:
         try:
-            sink.write(drill.process_line(line) + "\n")
+            sink.write(adapter.process_line(line) + "\n")
         except MalformedLine as problem:
-            print(f"onyxpulley: bad line on the wire: {problem}", file=sys.stderr)
+            print(f"onyxpulley: malformed input line: {problem}", file=sys.stderr)
             return 1
         sink.flush()
     return 0
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The life of a request in the core, without sockets: what fails for one request ends no other."""
+"""Request handling without sockets: an error in the handling of one request ends no other request."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from onyxpulley.core import Answer, Attempt, AttemptResult, Command, Exchange, Request, Send, Verdict
 
 
-class Bounds:
+class Limits:
     most_open = 100
     bodies = 10_000
 
 
-class OneAttempt:
-    """Decides to send each request once, to the server that its item names; fails for the item `bad`."""
+class SingleAttempt:
+    """Sends each request once, to the server named like its object; raises an error for the object `bad`."""
 
     def route(self, request: Request) -> Sequence[Command]:
         if request.object_id == "bad":
@@ -50,8 +50,8 @@
         return 0
 
 
-class FailingCarrier:
-    """Fails to take what goes to the server `broken`."""
+class FailingTransport:
+    """Raises an error for attempts at the server `broken`."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
@@ -65,19 +65,19 @@
         return
 
 
-# Guards against an error in the work for one request that ends the connection of whoever is being read.
-def test_what_fails_for_one_request_is_its_own_failure() -> None:
+# An exception that reached the caller would end the connection being read, which may be another client's.
+def test_an_error_while_handling_a_request_fails_that_request_only() -> None:
     async def play() -> None:
-        carrier = FailingCarrier()
-        exchange = Exchange(OneAttempt(), carrier, Bounds(), CopyStore(0))
+        transport = FailingTransport()
+        exchange = Exchange(SingleAttempt(), transport, Limits(), CopyStore(0))
         answers: dict[str, Verdict] = {}
-        for number, item in enumerate(("bad", "broken", "good")):
+        for number, object_id in enumerate(("bad", "broken", "good")):
 
-            def reply(answer: Answer, item: str = item) -> None:
-                answers[item] = answer.verdict
+            def reply(answer: Answer, object_id: str = object_id) -> None:
+                answers[object_id] = answer.verdict
 
-            exchange.submit(Request(f"{number:016x}", "page", item, now_us() + 10**6, reply))
+            exchange.submit(Request(f"{number:016x}", "page", object_id, now_us() + 10**6, reply))
         assert answers == {"bad": Verdict.FAILED, "broken": Verdict.FAILED}
-        assert [attempt.server for attempt in carrier.sent] == ["good"] and len(exchange.open_requests) == 1
+        assert [attempt.server for attempt in transport.sent] == ["good"] and len(exchange.open_requests) == 1
 
     asyncio.run(play())
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,7 @@
-"""What has ended is let go of at once, not by a later collection: memory levels off between collections."""
+"""Ended requests and closed connections are freed at once, by reference counts.
+
+Objects in reference cycles would stay until the next garbage collection, and memory would grow until then.
+"""
 
 from __future__ import annotations
 
@@ -23,15 +26,15 @@
 
 
 @pytest.fixture(autouse=True)
-def no_collections() -> Iterator[None]:
+def no_garbage_collection() -> Iterator[None]:
     gc.collect()
     gc.disable()
     yield
     gc.enable()
 
 
-class Carrier:
-    """Holds what is out, as connections do, and lets go of what is given up."""
+class Transport:
+    """Holds the attempts that are out, as connections do, and drops those that are given up."""
 
     def __init__(self) -> None:
         self.out: list[Attempt] = []
@@ -43,26 +46,26 @@
         self.out.remove(attempt)
 
 
-def make(folder: Path) -> tuple[Exchange, Carrier, config.Limits]:
+def make_exchange(folder: Path) -> tuple[Exchange, Transport, config.Limits]:
     table = {"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": SETTINGS}
     (folder / "config.json").write_text(json.dumps(table))
     limits = config.load({"GW_CONFIG": str(folder / "config.json")}).limits
-    carrier = Carrier()
-    facade = DecisionAdapter(SETTINGS, 1)
-    exchange = Exchange(facade, carrier, limits, CopyStore(0))
+    transport = Transport()
+    adapter = DecisionAdapter(SETTINGS, 1)
+    exchange = Exchange(adapter, transport, limits, CopyStore(0))
     rows = [("c0", "edge-1", "box"), ("o", "hub", "origin")]
     members = [Member(uid, "127.0.0.1:9", zone, kind, 0, "Ready", 4.0, 0) for uid, zone, kind in rows]
-    exchange.execute(facade.update_servers(True, members))
-    return exchange, carrier, limits
+    exchange.execute(adapter.update_servers(True, members))
+    return exchange, transport, limits
 
 
 @pytest.mark.parametrize("end", ["served", "left"])
-def test_an_ended_request_is_gone(end: str, tmp_path: Path) -> None:
+def test_an_ended_request_is_freed(end: str, tmp_path: Path) -> None:
     async def play() -> None:
-        exchange, carrier, _ = make(tmp_path)
+        exchange, transport, _ = make_exchange(tmp_path)
         answers: list[Answer] = []
 
-        def take() -> weakref.ref[object]:
+        def submit() -> weakref.ref[object]:
             def reply(answer: Answer) -> None:
                 answers.append(answer)
 
@@ -71,18 +74,18 @@
             if end == "left":
                 exchange.client_left(request)
             else:
-                exchange.finish(carrier.out.pop(), AttemptResult(Outcome.SERVED, body=b"ok", tag="aa"))
+                exchange.finish(transport.out.pop(), AttemptResult(Outcome.SERVED, body=b"ok", tag="aa"))
             return weakref.ref(reply)
 
-        found = take()
-        assert found() is None and not carrier.out and len(answers) == (end == "served")
+        reply_ref = submit()
+        assert reply_ref() is None and not transport.out and len(answers) == (end == "served")
 
     asyncio.run(play())
 
 
-def test_a_closed_client_is_gone_and_an_idle_one_holds_no_answer(tmp_path: Path) -> None:
+def test_a_closed_client_is_freed_and_an_idle_one_holds_no_answer(tmp_path: Path) -> None:
     async def play() -> None:
-        exchange, _, limits = make(tmp_path)
+        exchange, _, limits = make_exchange(tmp_path)
         front = Clients(exchange, frozenset(["page-file"]), limits)
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
@@ -97,12 +100,12 @@
         while client.held:
             await loop.sock_recv(theirs, 100_000)
         await asyncio.sleep(0)
-        answer.clear()  # raises BufferError while anyone holds on to what was written
-        found: weakref.ref[Client] = weakref.ref(client)
+        answer.clear()  # raises BufferError while the memory view that was written is still referenced
+        client_ref: weakref.ref[Client] = weakref.ref(client)
         theirs.close()
         del client
         for _ in range(20):
             await asyncio.sleep(0.005)
-        assert found() is None and not front.all
+        assert client_ref() is None and not front.all
 
     asyncio.run(play())
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: frames, malformed lines, the same actions under any hash seed and split into processes."""
+"""The simulator's adapter: event lines, malformed lines, and the same actions in any process layout."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "bounds": {"secondCopies": True, "cancelling": True, "maxAttempts": 6, "retryAfter": True},
     "new key": None,
 }
-ROWS = [
+SERVER_ROWS = [
     {"server": f"c{i}", "regionPart": "edge-1", "classOfHost": "box", "readiness": 1, "since": None}
     for i in range(3)
 ] + [
@@ -42,13 +42,14 @@
 ]
 
 
-def script(instances: list[int]) -> list[str]:
+def input_lines(instances: list[int]) -> list[str]:
+    """Starts these instances, announces the servers to them and plays 60 requests at each."""
     start = [
         item
         for i in instances
         for item in (
             {"op": "powerOn", "i": i, "randomSeed": i, "params": PARAMS},
-            {"op": "announce", "i": i, "stamp": 1, "scope": 2, "membersList": ROWS},
+            {"op": "announce", "i": i, "stamp": 1, "scope": 2, "membersList": SERVER_ROWS},
         )
     ]
     lines = [{"t": 1000, "items": []}, {"t": 2000, "items": start}]
@@ -81,7 +82,7 @@
     return [json.dumps(line) for line in lines]
 
 
-def by_instance(replies: list[str]) -> dict[int, list[str]]:
+def actions_by_instance(replies: list[str]) -> dict[int, list[str]]:
     found: dict[int, list[str]] = {}
     for reply in replies:
         for action in json.loads(reply)["output"]:
@@ -89,25 +90,26 @@
     return found
 
 
-def run(lines: list[str], seed: str) -> list[str]:
-    env = {**os.environ, "PYTHONHASHSEED": seed}
+def run(lines: list[str], hash_seed: str) -> list[str]:
+    """The output lines of the adapter in a process of its own."""
+    env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-m", "onyxpulley.simulator_adapter"]
-    done = subprocess.run(
+    process = subprocess.run(
         command, input="\n".join(lines) + "\n", env=env, capture_output=True, text=True, check=True
     )
-    return done.stdout.splitlines()
+    return process.stdout.splitlines()
 
 
-def test_same_actions_under_another_hash_seed_and_process_split() -> None:
-    whole = by_instance(run(script([0, 1, 2]), "1"))
-    assert whole and all(whole[i] for i in (0, 1, 2))
+def test_actions_depend_on_neither_hash_seed_nor_distribution_over_processes() -> None:
+    together = actions_by_instance(run(input_lines([0, 1, 2]), "1"))
+    assert together and all(together[i] for i in (0, 1, 2))
     for i in (0, 1, 2):
-        assert by_instance(run(script([i]), str(40 + i)))[i] == whole[i]
+        assert actions_by_instance(run(input_lines([i]), str(40 + i)))[i] == together[i]
 
 
-def test_a_request_becomes_a_named_fetch() -> None:
-    drill = SimulatorAdapter()
-    replies = [json.loads(drill.process_line(line))["output"] for line in script([7])[:3]]
+def test_a_request_becomes_a_fetch_that_names_its_source() -> None:
+    adapter = SimulatorAdapter()
+    replies = [json.loads(adapter.process_line(line))["output"] for line in input_lines([7])[:3]]
     sent = [a for a in replies[2] if a["op"] == "pullVia"][0]
     assert sent["i"] == 7 and sent["server"].startswith("c") and sent["feeder"] == "p0"
 
@@ -123,20 +125,20 @@
         '{"t":1,"items":[{"op":"returned","i":0,"ref":"x","server":"s","reason":"odd"}]}',
     ],
 )
-def test_malformed_lines_end_the_adapter_with_a_plain_message(
+def test_a_malformed_line_ends_the_adapter_with_an_error_message(
     line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     sink = io.StringIO()
     assert main(io.StringIO(line + "\n"), sink) == 1
     assert sink.getvalue() == ""
-    assert "bad line on the wire" in capsys.readouterr().err
+    assert "malformed input line" in capsys.readouterr().err
 
 
-def test_unknown_events_fields_and_stopped_instances_are_skipped() -> None:
-    drill = SimulatorAdapter()
-    for line in script([0])[:2]:
-        drill.process_line(line)
-    assert drill.process_line('{"t":9000,"items":[{"op":"fanfare","i":0,"x":1}]}') == '{"output":[]}'
-    drill.process_line('{"t":9000,"items":[{"op":"retire","i":0}]}')
+def test_unknown_events_and_events_of_retired_instances_are_ignored() -> None:
+    adapter = SimulatorAdapter()
+    for line in input_lines([0])[:2]:
+        adapter.process_line(line)
+    assert adapter.process_line('{"t":9000,"items":[{"op":"fanfare","i":0,"x":1}]}') == '{"output":[]}'
+    adapter.process_line('{"t":9000,"items":[{"op":"retire","i":0}]}')
     late = '{"t":9001,"items":[{"op":"newRequest","i":0,"ref":"a","service":"media","timeLeft":5}]}'
-    assert drill.process_line(late) == '{"output":[]}'
+    assert adapter.process_line(late) == '{"output":[]}'
--- a/tests/test_write.py
+++ b/tests/test_write.py
@@ -1,4 +1,4 @@
-"""What holds at the write, the router's own copies, and the end of a drain: bench-free."""
+"""The check before an attempt is written, the router's own copies, and answers at the end of a drain."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     return world.router.recheck(world.now, name, 0)
 
 
-def test_what_waited_is_not_written_to_a_server_or_source_that_drains() -> None:
+def test_a_waiting_attempt_is_not_written_once_its_server_or_source_drains() -> None:
     for role in ("server", "source"):
         world = World()
         name, actions = world.ask()
         assert recheck(world, name) == 0
-        gone = getattr(fetch(actions), role)
-        row = next(e for e in entries() if e.server == gone)
-        world.change(api.ServerEntry(gone, row.zone, row.kind, row.cell, api.ServerState.DRAINING))
+        draining = getattr(fetch(actions), role)
+        entry = next(e for e in entries() if e.server == draining)
+        world.change(api.ServerEntry(draining, entry.zone, entry.kind, entry.cell, api.ServerState.DRAINING))
         assert recheck(world, name) is None
 
 
-def test_a_purge_bounds_the_age_of_what_waited() -> None:
+def test_a_purge_limits_the_copy_age_of_a_waiting_attempt() -> None:
     world = World()
     name, _ = world.ask("x")
     world.do(api.Purged(1, 40_000, "x"))
@@ -31,17 +31,19 @@
     assert bound is not None and 0 < bound < 50_000
 
 
-def test_a_server_that_started_cold_meanwhile_takes_what_waited_only_within_its_allowance() -> None:
+def test_a_waiting_attempt_is_written_to_a_server_that_started_meanwhile_only_within_its_cold_limit() -> None:
     world = World()
     name, actions = world.ask()
-    row = next(e for e in entries() if e.server == fetch(actions).server)
+    entry = next(e for e in entries() if e.server == fetch(actions).server)
     world.change(
-        api.ServerEntry(row.server, row.zone, row.kind, row.cell, api.ServerState.READY, 1.0, world.now)
+        api.ServerEntry(
+            entry.server, entry.zone, entry.kind, entry.cell, api.ServerState.READY, 1.0, world.now
+        )
     )
     assert recheck(world, name) is None
 
 
-def test_any_proof_lets_a_job_go_on_and_be_refused() -> None:
+def test_an_unsafe_request_that_never_ran_is_retried_and_may_be_refused() -> None:
     world = World()
     name, actions = world.ask(cls="sign")
     for attempt in range(8):
@@ -52,27 +54,26 @@
     assert attempt > 1 and isinstance(finals(actions)[0], api.Refuse)
 
 
-def own(world: World, age: int, cls: str = "pages", kb: float = 50.0) -> bool:
+def served_from_own_copy(world: World, age: int, cls: str = "pages", kb: float = 50.0) -> bool:
     request = api.Request(f"own{world.now}", cls, "x", 2 * SEC, group=1, size_kb=kb, own_copy_age=age)
     return any(isinstance(a, api.ServeOwnCopy) for a in world.do(request, 1))
 
 
-def test_an_own_copy_keeps_to_age_purge_link_and_class() -> None:
+def test_an_own_copy_is_served_within_the_limits_of_age_purge_link_and_class() -> None:
     world = World(with_settings(link_transfers=2.0))
-    assert own(world, 1 * SEC)
-    assert not own(world, 8 * SEC)  # past its fresh time
-    assert not own(world, 0, "sign")  # a job runs
+    assert served_from_own_copy(world, 1 * SEC)
+    assert not served_from_own_copy(world, 8 * SEC)  # beyond the freshness lifetime
+    assert not served_from_own_copy(world, 0, "sign")  # the class is not cached
     world.do(api.Purged(1, 0, "x"))
-    assert (
-        not own(world, 1 * SEC) and own(world, 0 * SEC) is False
-    )  # older than the purge, or not surely newer
+    assert not served_from_own_copy(world, 1 * SEC)  # older than the purge
+    assert served_from_own_copy(world, 0 * SEC) is False  # not certainly newer than the purge
     busy = World(with_settings(link_transfers=2.0))
-    served = [own(busy, 1 * SEC, kb=100.0) for _ in range(20)]
-    assert served[0] and not served[-1]  # the link is full: a cache is quicker
-    assert not own(World(), 1 * SEC)  # no link told: no copies
+    served = [served_from_own_copy(busy, 1 * SEC, kb=100.0) for _ in range(20)]
+    assert served[0] and not served[-1]  # this router's link is full: a cache is faster
+    assert not served_from_own_copy(World(), 1 * SEC)  # without a configured link capacity: no own copies
 
 
-def test_a_confirmed_copy_tells_no_pace() -> None:
+def test_a_not_modified_answer_does_not_change_the_latency_estimate() -> None:
     world = World()
     for _ in range(50):
         name, actions = world.ask()
@@ -86,17 +87,17 @@
     assert world.router.lag == World().router.lag
 
 
-def test_settle_ends_a_request_at_once_and_only_once() -> None:
+def test_a_request_is_answered_at_once_at_the_end_of_a_drain_and_only_once() -> None:
     world = World()
     safe, _ = world.ask()
-    job, _ = world.ask(cls="sign")
+    unsafe, _ = world.ask(cls="sign")
     assert isinstance(finals(world.router.settle(START + 1, safe))[0], api.Refuse)
-    assert isinstance(finals(world.router.settle(START + 1, job))[0], api.Fail)
-    assert not world.router.settle(START + 2, job)
+    assert isinstance(finals(world.router.settle(START + 1, unsafe))[0], api.Fail)
+    assert not world.router.settle(START + 2, unsafe)
 
 
-# Guards against a server that is blamed, or a job that fails, because this machine could make no connection.
-def test_a_connection_that_could_not_be_made_here_blames_no_server() -> None:
+# Lack of sockets on this machine must neither mark a server as failing nor fail an unsafe request.
+def test_a_connection_that_this_machine_could_not_make_is_no_failure_of_the_server() -> None:
     world = World()
     name, actions = world.ask(cls="sign")
     first = sends(actions)[0]
