--- a/onyxpulley/__init__.py
+++ b/onyxpulley/__init__.py
@@ -1,5 +1,5 @@
 """onyxpulley: the decisions of a cache router."""
 
-from onyxpulley.control import Router
+from onyxpulley.router import Router
 
 __all__ = ["Router"]
--- a/onyxpulley/drill.py
+++ b/onyxpulley/drill.py
@@ -8,7 +8,7 @@
 from typing import TextIO
 
 from onyxpulley import interface as api
-from onyxpulley.control import Router
+from onyxpulley.router import Router
 from onyxpulley.settings import Json, at, get, read_settings
 
 OUTCOMES = {
--- a/onyxpulley/facade.py
+++ b/onyxpulley/facade.py
@@ -10,7 +10,6 @@
 from onyxpulley import logs
 from onyxpulley.clock import PlatformClock, now_us
 from onyxpulley.config import BadConfig
-from onyxpulley.control import Router
 from onyxpulley.core import (
     Abort,
     Answer,
@@ -23,6 +22,7 @@
     Settle,
     Verdict,
 )
+from onyxpulley.router import Router
 from onyxpulley.settings import Json, read_settings
 
 OUTCOMES = {
@@ -104,7 +104,7 @@
         """How many servers are listed, and how many of them the module avoids now."""
         known = [s for s in self.router.servers.values() if s.state is not api.State.GONE]
         ready = [s for s in known if s.state is api.State.READY]
-        return len(known), sum(not self.router.usable(s) for s in ready)
+        return len(known), sum(not self.router.is_usable(s) for s in ready)
 
     # ---- Requests
     def pick(self, request: Request) -> Sequence[Order]:
@@ -164,7 +164,7 @@
 
     def settle(self, request: Request) -> Sequence[Order]:
         """The final answer now, whatever is out."""
-        return self._orders(self.router.settle(self.clock(), request.key))
+        return self._orders(self.router.force_answer(self.clock(), request.key))
 
     def recheck(self, attempt: Attempt) -> bool:
         """May it still be written? Renews the age bound, which a purge may have tightened meanwhile."""
--- a/onyxpulley/hashing.py
+++ b/onyxpulley/hashing.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-KEY = b"latchgrade"  # the project's old name: another one would move every object
+HASH_KEY = b"latchgrade"  # the project's old name: another one would move every object
 
 
-def draw(key: bytes, first: str, second: str) -> float:
+def unit_hash(key: bytes, first: str, second: str) -> float:
     """A keyed hash of two names in (0, 1), the same in every process."""
     raw = blake2b(f"{first}\0{second}".encode(), digest_size=8, key=key).digest()
     return (int.from_bytes(raw, "big") + 0.5) / 2**64
@@ -17,12 +17,12 @@
 
 def score(obj: str, server: str, weight: float = 1.0) -> float:
     """Winning hash of the design; a nominal weight is its load factor (CARP)."""
-    return -weight / math.log(draw(KEY, obj, server))
+    return -weight / math.log(unit_hash(HASH_KEY, obj, server))
 
 
 def scores(obj: str, servers: Iterable[tuple[str, float]]) -> list[float]:
     """The same for many servers, given by id and weight: the object's part of the hash is computed once."""
-    prefix = blake2b(f"{obj}\0".encode(), digest_size=8, key=KEY)
+    prefix = blake2b(f"{obj}\0".encode(), digest_size=8, key=HASH_KEY)
     found = []
     for server, weight in servers:
         state = prefix.copy()
@@ -32,6 +32,6 @@
     return found
 
 
-def part_of(obj: str, server: str) -> float:
+def admission_hash(obj: str, server: str) -> float:
     """Second hash: all routers agree by it which part of its objects a cold or crowded server takes."""
-    return draw(b"part", server, obj)
+    return unit_hash(b"part", server, obj)
--- a/onyxpulley/server_state.py
+++ b/onyxpulley/server_state.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING
 
 from onyxpulley import interface as api
+from onyxpulley.bounded_state import DecayingRate
 from onyxpulley.interface import State
-from onyxpulley.memo import Flow
 from onyxpulley.slow_start import WorkWindow
 
 if TYPE_CHECKING:
-    from onyxpulley.jobs import Attempt
+    from onyxpulley.pending_requests import Attempt
 
-HOME_SPAN = 30_000_000  # us; memory of how the fills share out among parents
+PRIMARY_FILL_TIME_CONSTANT = 30_000_000  # us; memory of how the fills share out among parents
 
 
 class Server:
@@ -21,17 +21,36 @@
     def __init__(self, entry: api.Entry, role: str) -> None:
         self.id, self.zone, self.role, self.cell = entry.server, entry.zone, role, entry.cell
         self.weight, self.state, self.started = entry.weight, State.GONE, 0
-        self.out: dict[tuple[str, int], Attempt] = {}
-        self.sent_cold = WorkWindow()
-        self.renew(0)
+        self.in_flight: dict[tuple[str, int], Attempt] = {}
+        self.slow_start_work = WorkWindow()
+        self.reset(0)
 
-    def renew(self, warm_from: int) -> None:
+    def reset(self, warm_from: int) -> None:
         """A new process: nothing of the old one's health holds. warm_from 0: warm."""
-        self.warm_from, self.fails, self.failing, self.down_until, self.hold = warm_from, 0, 0.0, 0, 0
-        self.trial, self.lost, self.load = False, False, tuple[float, ...]()
-        self.others, self.reported = 0.0, 0  # what others have there by its last report, and when that came
-        self.waits, self.takes = 0.0, 1.0  # means of an answer's wait for its source and of its whole time
-        self.broke = -(2**62)  # when a connection to it last ended with something out
-        self.answered, self.slow, self.miss = 0, 1.0, 1.0 if warm_from else 0.3
-        self.part, self.part_at, self.slow_at, self.full = 1.0, 0, 0, 0.0
-        self.home = Flow(HOME_SPAN)  # a parent: this router's fills of the objects that it is home to
+        (
+            self.slow_start_since,
+            self.consecutive_failures,
+            self.failure_rate,
+            self.ejected_until,
+            self.ejection_time,
+        ) = warm_from, 0, 0.0, 0, 0
+        self.probe_in_flight, self.unresponsive, self.load_report = False, False, tuple[float, ...]()
+        self.load_of_others, self.load_reported_at = (
+            0.0,
+            0,
+        )  # what others have there by its last report, and when that came
+        self.mean_source_wait, self.mean_latency = (
+            0.0,
+            1.0,
+        )  # means of an answer's wait for its source and of its whole time
+        self.connection_lost_at = -(2**62)  # when a connection to it last ended with something out
+        self.answered_at, self.latency_ratio, self.miss_rate = 0, 1.0, 1.0 if warm_from else 0.3
+        self.admission_share, self.share_updated_at, self.latency_sampled_at, self.refusal_rate = (
+            1.0,
+            0,
+            0,
+            0.0,
+        )
+        self.primary_fills = DecayingRate(
+            PRIMARY_FILL_TIME_CONSTANT
+        )  # a parent: this router's fills of the objects that it is home to
--- a/onyxpulley/slow_start.py
+++ b/onyxpulley/slow_start.py
@@ -16,16 +16,16 @@
         self.entries: deque[tuple[int, float]] = deque()
         self.total = 0.0
 
-    def book(self, at: int, work: float) -> None:
+    def add(self, at: int, work: float) -> None:
         self.entries.append((at, work))
         self.total += work
 
-    def within(self, now: int, window: int) -> float:
+    def total_within(self, now: int, window: int) -> float:
         """The work of the last `window`."""
         while self.entries and self.entries[0][0] < now - window:
             self.total -= self.entries.popleft()[1]
         return self.total
 
-    def counts(self, now: int, window: int) -> bool:
+    def has_work_within(self, now: int, window: int) -> bool:
         """Is there any entry that still counts?"""
         return bool(self.entries) and self.entries[-1][0] > now - window
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from onyxpulley import interface as api
-from onyxpulley.control import Router
+from onyxpulley.router import Router
 
 SEC = 1_000_000
 PAGES = api.ClassSettings(
@@ -17,7 +17,7 @@
 KEYED = api.ClassSettings(
     "keyed", 600_000, 3_000_000, effect=api.Effect.KEYED, group="cell", repeat_window=1 * SEC, uncached=True
 )
-BASE = api.Settings(
+BASE_SETTINGS = api.Settings(
     zone="edge-1",
     classes=(PAGES, MEDIA, SIGN, KEYED),
     zones=("hub", "edge-1", "edge-2"),
@@ -53,31 +53,39 @@
     return tuple(rows)
 
 
-class World:
+class RouterHarness:
     """A router with its list, and what it has said so far."""
 
     def __init__(
-        self, settings: api.Settings = BASE, rows: tuple[api.Entry, ...] | None = None, now: int = START
+        self,
+        settings: api.Settings = BASE_SETTINGS,
+        rows: tuple[api.Entry, ...] | None = None,
+        now: int = START,
     ) -> None:
         self.router = Router(settings, 1)
         self.now = now
-        self.ids = count()
-        self.do(api.Listing(api.ListKind.CACHED, entries() if rows is None else rows))
+        self.request_numbers = count()
+        self.handle(api.Listing(api.ListKind.CACHED, entries() if rows is None else rows))
 
-    def do(self, event: api.Event, after: int = 0) -> list[api.Action]:
+    def handle(self, event: api.Event, after: int = 0) -> list[api.Action]:
         self.now += after
         return self.router.handle(self.now, event)
 
-    def change(self, *rows: api.Entry, after: int = 0) -> None:
-        self.do(api.Listing(api.ListKind.CHANGES, rows), after)
+    def update_servers(self, *rows: api.Entry, after: int = 0) -> None:
+        self.handle(api.Listing(api.ListKind.CHANGES, rows), after)
 
-    def ask(
-        self, obj: str = "x", cls: str = "media", left: int = 5 * SEC, kb: float = 100.0, group: int = 1
+    def request(
+        self,
+        obj: str = "x",
+        cls: str = "media",
+        time_left: int = 5 * SEC,
+        size_kb: float = 100.0,
+        group: int = 1,
     ) -> tuple[str, list[api.Action]]:
-        name = f"r{next(self.ids)}"
-        return name, self.do(api.Request(name, cls, obj, left, group=group, size_kb=kb))
+        name = f"r{next(self.request_numbers)}"
+        return name, self.handle(api.Request(name, cls, obj, time_left, group=group, size_kb=size_kb))
 
-    def end(
+    def finish(
         self,
         name: str,
         sent: api.Fetch | api.Ask,
@@ -87,28 +95,28 @@
         attempt: int = 0,
     ) -> list[api.Action]:
         over = outcome is api.Outcome.SERVED
-        return self.do(api.Finished(name, attempt, sent.server, outcome, after, over, note), after)
+        return self.handle(api.Finished(name, attempt, sent.server, outcome, after, over, note), after)
 
-    def serve(self, obj: str, **more: object) -> api.Fetch:
+    def serve_hit(self, obj: str, **more: object) -> api.Fetch:
         """Ask and answer at once, a plain hit."""
-        name, actions = self.ask(obj)
-        sent = fetch(actions)
-        self.end(name, sent, note=api.Note.HIT)
+        name, actions = self.request(obj)
+        sent = single_fetch(actions)
+        self.finish(name, sent, note=api.Note.HIT)
         return sent
 
 
-def sends(actions: list[api.Action]) -> list[api.Fetch | api.Ask]:
+def sent_attempts(actions: list[api.Action]) -> list[api.Fetch | api.Ask]:
     return [a for a in actions if isinstance(a, api.Fetch | api.Ask)]
 
 
-def fetch(actions: list[api.Action]) -> api.Fetch:
+def single_fetch(actions: list[api.Action]) -> api.Fetch:
     (sent,) = [a for a in actions if isinstance(a, api.Fetch)]
     return sent
 
 
-def finals(actions: list[api.Action]) -> list[api.Action]:
+def final_answers(actions: list[api.Action]) -> list[api.Action]:
     return [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
 
 
 def with_settings(**changes: object) -> api.Settings:
-    return replace(BASE, **changes)  # type: ignore[arg-type]
+    return replace(BASE_SETTINGS, **changes)  # type: ignore[arg-type]
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -14,7 +14,7 @@
 from onyxpulley import config
 from onyxpulley.clients import LINES, Clients
 
-from .helpers import World, with_settings
+from .helpers import RouterHarness, with_settings
 from .player import SETTINGS, Play, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -67,12 +67,14 @@
 
 
 def test_the_tables_of_the_decisions_stay_within_their_bound() -> None:
-    world = World(with_settings(memo=50))
+    world = RouterHarness(with_settings(memo=50))
     for no in range(200):
-        world.serve(f"x{no}")
+        world.serve_hit(f"x{no}")
     router = world.router
-    assert all(len(table) <= 50 for table in (router.ranks, router.heat, router.learned))
-    assert "x199" in router.heat and "x0" not in router.heat, "what was asked for longest ago goes first"
+    assert all(len(table) <= 50 for table in (router.rankings, router.object_load, router.learned_work))
+    assert "x199" in router.object_load and "x0" not in router.object_load, (
+        "what was asked for longest ago goes first"
+    )
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,11 +6,11 @@
 from itertools import islice
 
 from onyxpulley import interface as api
-from onyxpulley.control import Router
-from onyxpulley.hashing import part_of
+from onyxpulley.hashing import admission_hash
 from onyxpulley.interface import Note, Outcome
+from onyxpulley.router import Router
 
-from .helpers import BASE, SEC, START, World, entries, fetch, with_settings
+from .helpers import BASE_SETTINGS, SEC, START, RouterHarness, entries, single_fetch, with_settings
 
 ROUTERS = 40
 SIZE_KB = 200.0  # each request's sending time is 0.2 s
@@ -19,10 +19,10 @@
 
 def rushed(server: str, role: str) -> list[str]:
     """Objects at home at a server, all of the part that it takes at its coldest."""
-    router = Router(BASE, 1)
+    router = Router(BASE_SETTINGS, 1)
     router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
     names = (f"k{i}" for i in range(100_000))
-    home = (o for o in names if part_of(o, server) < 0.1 and router.ranked(role, o)[0].id == server)
+    home = (o for o in names if admission_hash(o, server) < 0.1 and router.ranking(role, o)[0].id == server)
     return list(islice(home, 200))
 
 
@@ -66,25 +66,25 @@
 
 
 def test_forty_routers_together_stay_within_a_cold_caches_allowance() -> None:
-    setting = replace(BASE, routers=ROUTERS, zone_routers=ROUTERS)
+    setting = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
     assert drive(setting, api.Entry("c0", "edge-1", "box"), as_source=False) < 1.0
 
 
 def test_a_rush_on_a_cold_servers_own_objects_stays_within_its_allowance() -> None:
     """The part by the second hash does not help here: only each router's budget does."""
-    setting = replace(BASE, routers=ROUTERS, zone_routers=ROUTERS)
+    setting = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
     assert drive(setting, api.Entry("c0", "edge-1", "box"), as_source=False, rush=True) < 1.0
     assert drive(setting, api.Entry("p0", "hub", "parent"), as_source=True, rush=True) < 1.0
 
 
 def test_forty_routers_together_stay_within_a_cold_parents_allowance() -> None:
-    setting = replace(BASE, routers=ROUTERS, zone_routers=ROUTERS)
+    setting = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
     assert drive(setting, api.Entry("p0", "hub", "parent"), as_source=True) < 1.0
 
 
 def test_memory_stays_bounded_while_servers_are_replaced() -> None:
     """A router that runs for months sees thousands of servers come and go."""
-    router = Router(BASE, 1)
+    router = Router(BASE_SETTINGS, 1)
     router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
     for i in range(3000):
         new = api.Entry(f"n{i}", "edge-1", "box", started=START + i * SEC)
@@ -104,7 +104,7 @@
         entries(0, 0, origin=False),
     ):
         ready = {r.server for r in rows}
-        router = Router(replace(BASE, routers=0, zone_routers=0), 1)
+        router = Router(replace(BASE_SETTINGS, routers=0, zone_routers=0), 1)
         router.handle(START, api.Listing(api.ListKind.FULL, rows))
         answered = 0
         for i in range(50):
@@ -116,7 +116,7 @@
 
 
 def test_outcomes_and_times_that_make_no_sense_raise_nothing() -> None:
-    router = Router(BASE, 1)
+    router = Router(BASE_SETTINGS, 1)
     router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
     (sent, *_) = router.handle(START, api.Request("r", "no such class", "o", SEC))
     assert isinstance(sent, api.Fetch)
@@ -129,22 +129,22 @@
     assert any(isinstance(action, api.Fetch) for action in after)
 
 
-def filled(world: World, obj: str, parts: range, after: int) -> list[str]:
+def filled(world: RouterHarness, obj: str, parts: range, after: int) -> list[str]:
     """Asks for parts of an object that are all filled `after` so long; the parents that were named."""
     named = []
     for part in parts:
-        name = f"{obj}-{part}-{next(world.ids)}"
+        name = f"{obj}-{part}-{next(world.request_numbers)}"
         ask = api.Request(name, "media", obj, 5 * SEC, group=1, size_kb=100.0, part=part)
-        sent = fetch(world.do(ask, after=100_000))
+        sent = single_fetch(world.handle(ask, after=100_000))
         named.append(sent.source)
-        world.do(api.Finished(name, 0, sent.server, Outcome.SERVED, after, True, Note.FILLED), after)
+        world.handle(api.Finished(name, 0, sent.server, Outcome.SERVED, after, True, Note.FILLED), after)
     return named
 
 
 def test_a_hot_objects_parts_leave_its_jammed_parent_and_every_router_moves_the_same_ones() -> None:
     """Seen at 200 routers: 24 parts of one lesson from 33 locations filled one parent's link, three of nine
     parents jammed while the others were at a third, and each router met each parent once in four seconds."""
-    worlds = [World(BASE, entries(4, 8)) for _ in range(2)]
+    worlds = [RouterHarness(BASE_SETTINGS, entries(4, 8)) for _ in range(2)]
     kept: list[dict[int, str]] = []
     for no, world in enumerate(worlds):
         calm = filled(world, "hot", range(24), 150_000)
@@ -167,7 +167,7 @@
     rows = tuple(replace(e, weight=20.0) if e.kind == "parent" else e for e in entries(4, 8))
     named = {}
     for routers in (4, 200):  # one fill a quarter of a second is 0.4 of a transfer; at 200 routers 80
-        world = World(replace(BASE, routers=routers, nominal_weights=True), rows)
+        world = RouterHarness(replace(BASE_SETTINGS, routers=routers, nominal_weights=True), rows)
         filled(world, "hot", range(60), 150_000)
         named[routers] = set(filled(world, "hot", range(100, 140), 150_000))
     assert len(named[4]) == 1, "the ordinary path: one parent for an object"
@@ -178,14 +178,14 @@
 def test_what_moves_no_rank_leaves_the_ranks_of_thousands_of_servers() -> None:
     many = entries(3_000, 4)
     elsewhere = api.Entry("s0", "edge-2", "box")
-    world = World(with_settings(memo=40_000), (*many, elsewhere))
+    world = RouterHarness(with_settings(memo=40_000), (*many, elsewhere))
     for number in range(20):
-        world.serve(f"x{number}")
-    ranks = dict(world.router.ranks)
+        world.serve_hit(f"x{number}")
+    ranks = dict(world.router.rankings)
     assert ranks and all(len(row) <= 64 for row in ranks.values())
-    world.change(api.Entry("c7", "edge-1", "box", state=api.State.DRAINING))
-    world.change(api.Entry("s0", "edge-2", "box", state=api.State.GONE))
-    world.change(api.Entry("s1", "edge-2", "box"))
-    assert dict(world.router.ranks) == ranks
-    world.change(api.Entry("c3001", "edge-1", "box"))
-    assert not world.router.ranks, "a new one takes its objects at once"
+    world.update_servers(api.Entry("c7", "edge-1", "box", state=api.State.DRAINING))
+    world.update_servers(api.Entry("s0", "edge-2", "box", state=api.State.GONE))
+    world.update_servers(api.Entry("s1", "edge-2", "box"))
+    assert dict(world.router.rankings) == ranks
+    world.update_servers(api.Entry("c3001", "edge-1", "box"))
+    assert not world.router.rankings, "a new one takes its objects at once"
--- a/tests/test_hash.py
+++ b/tests/test_hash.py
@@ -3,9 +3,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxpulley.hashing import part_of, score
+from onyxpulley.hashing import admission_hash, score
 
-from .helpers import World, entries, fetch
+from .helpers import RouterHarness, entries, single_fetch
 
 IDS = st.lists(st.text(min_size=1, max_size=12), min_size=2, max_size=12, unique=True)
 
@@ -41,12 +41,12 @@
 
 
 def test_part_is_even() -> None:
-    assert 0.27 < sum(part_of(f"o{i}", "s") < 0.3 for i in range(4000)) / 4000 < 0.33
+    assert 0.27 < sum(admission_hash(f"o{i}", "s") < 0.3 for i in range(4000)) / 4000 < 0.33
 
 
 def test_same_cache_and_parent_for_an_object_whatever_the_order_of_the_list() -> None:
-    one, two = World(), World(rows=tuple(reversed(entries())))
+    one, two = RouterHarness(), RouterHarness(rows=tuple(reversed(entries())))
     for i in range(40):
-        a, b = fetch(one.ask(f"o{i}")[1]), fetch(two.ask(f"o{i}")[1])
+        a, b = single_fetch(one.request(f"o{i}")[1]), single_fetch(two.request(f"o{i}")[1])
         assert (a.server, a.source) == (b.server, b.source)
         assert a.server.startswith("c") and a.source.startswith("p")
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,404 +5,429 @@
 from onyxpulley import interface as api
 from onyxpulley.interface import Note, Outcome
 
-from .helpers import SEC, World, fetch, finals, sends, with_settings
+from .helpers import SEC, RouterHarness, final_answers, sent_attempts, single_fetch, with_settings
 
 
-def owned_by(world: World, server: str, count: int) -> list[str]:
+def owned_by(world: RouterHarness, server: str, count: int) -> list[str]:
     names = (f"k{i}" for i in range(10_000))
-    return [o for o in names if world.router.ranked("cache", o)[0].id == server][:count]
+    return [o for o in names if world.router.ranking("cache", o)[0].id == server][:count]
 
 
-def fail(world: World, server: str, outcome: Outcome, took: int, times: int = 3) -> None:
+def fail(world: RouterHarness, server: str, outcome: Outcome, took: int, times: int = 3) -> None:
     for obj in owned_by(world, server, times):
-        name, actions = world.ask(obj)
-        sent = fetch(actions)
+        name, actions = world.request(obj)
+        sent = single_fetch(actions)
         if sent.server == server:
-            world.end(name, sent, outcome, after=took)
+            world.finish(name, sent, outcome, after=took)
 
 
 def test_three_straight_losses_take_a_cache_out_and_a_later_trial_brings_it_back() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 20)
     fail(world, "c1", Outcome.UNREACHABLE, 1000)
-    assert fetch(world.ask(mine[5])[1]).server != "c1"
+    assert single_fetch(world.request(mine[5])[1]).server != "c1"
     world.now += 3 * SEC
-    name, actions = world.ask(mine[6])
-    trial = fetch(actions)
+    name, actions = world.request(mine[6])
+    trial = single_fetch(actions)
     assert trial.server == "c1"
-    assert fetch(world.ask(mine[7])[1]).server != "c1", "one trial at a time"
-    world.end(name, trial, note=Note.HIT)
-    assert not world.router.servers["c1"].down_until
-    assert world.router.servers["c1"].warm_from, "it may have restarted: it counts as cold"
+    assert single_fetch(world.request(mine[7])[1]).server != "c1", "one trial at a time"
+    world.finish(name, trial, note=Note.HIT)
+    assert not world.router.servers["c1"].ejected_until
+    assert world.router.servers["c1"].slow_start_since, "it may have restarted: it counts as cold"
 
 
 def test_a_connection_that_ends_is_one_failure_and_its_requests_are_asked_there_again() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 20)
-    out = [(o, *world.ask(o)) for o in mine]
-    again = [sends(world.end(name, fetch(a), Outcome.BROKEN, after=0))[0] for _, name, a in out]
-    assert {a.server for a in again} == {"c1"} and not world.router.servers["c1"].down_until
-    moved = sends(world.end(out[0][1], again[0], Outcome.BROKEN, attempt=1, after=30_000))[0]
+    out = [(o, *world.request(o)) for o in mine]
+    again = [
+        sent_attempts(world.finish(name, single_fetch(a), Outcome.BROKEN, after=0))[0] for _, name, a in out
+    ]
+    assert {a.server for a in again} == {"c1"} and not world.router.servers["c1"].ejected_until
+    moved = sent_attempts(world.finish(out[0][1], again[0], Outcome.BROKEN, attempt=1, after=30_000))[0]
     assert moved.server != "c1", "once, not for ever"
     for i in (1, 2):
-        world.end(out[i][1], again[i], Outcome.BROKEN, attempt=1, after=30_000)
-    assert world.router.servers["c1"].down_until, "three ends in a row are three failures"
+        world.finish(out[i][1], again[i], Outcome.BROKEN, attempt=1, after=30_000)
+    assert world.router.servers["c1"].ejected_until, "three ends in a row are three failures"
 
 
 def test_a_lost_answer_of_a_quick_cache_is_asked_for_there_again_and_then_elsewhere() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 20)
     for i in range(60):
-        world.serve(f"w{i}")
-    name, actions = world.ask(mine[0])
+        world.serve_hit(f"w{i}")
+    name, actions = world.request(mine[0])
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
     world.now += 200_000
-    world.serve(mine[1])
-    again = world.do(api.TimerDue(timer.token), timer.delay - 200_000)
-    assert sends(again)[0].server == "c1"
+    world.serve_hit(mine[1])
+    again = world.handle(api.TimerDue(timer.token), timer.delay - 200_000)
+    assert sent_attempts(again)[0].server == "c1"
     (timer,) = [a for a in again if isinstance(a, api.SetTimer)]
-    world.serve(mine[2])
-    assert sends(world.do(api.TimerDue(timer.token), timer.delay))[0].server != "c1"
+    world.serve_hit(mine[2])
+    assert sent_attempts(world.handle(api.TimerDue(timer.token), timer.delay))[0].server != "c1"
 
 
 def test_a_late_answer_of_a_crowded_cache_is_waited_for() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 20)
     for obj in mine[1:9]:
-        name, actions = world.ask(obj)
-        world.end(name, fetch(actions), note=Note.HIT, after=400_000)
-    name, actions = world.ask(mine[0])
+        name, actions = world.request(obj)
+        world.finish(name, single_fetch(actions), note=Note.HIT, after=400_000)
+    name, actions = world.request(mine[0])
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
-    world.serve(mine[10])
-    assert not sends(world.do(api.TimerDue(timer.token), timer.delay))
+    world.serve_hit(mine[10])
+    assert not sent_attempts(world.handle(api.TimerDue(timer.token), timer.delay))
 
 
 def test_a_cache_that_answers_is_not_lost_and_comes_back_warm() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 20)
     fail(world, "c1", Outcome.UNREACHABLE, 1000, times=1)
-    world.serve(mine[5])
+    world.serve_hit(mine[5])
     for obj in mine[6:9]:
-        name, actions = world.ask(obj)
-        world.end(name, fetch(actions), Outcome.BROKEN, after=80_000)
-    assert world.router.servers["c1"].down_until
+        name, actions = world.request(obj)
+        world.finish(name, single_fetch(actions), Outcome.BROKEN, after=80_000)
+    assert world.router.servers["c1"].ejected_until
     world.now += 3 * SEC
-    world.serve(mine[9])
-    assert not world.router.servers["c1"].down_until and not world.router.servers["c1"].warm_from
+    world.serve_hit(mine[9])
+    assert not world.router.servers["c1"].ejected_until and not world.router.servers["c1"].slow_start_since
 
 
 def test_answers_to_sends_from_before_the_loss_do_not_lift_the_mark() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 20)
-    old, actions = world.ask(mine[10])
-    sent = fetch(actions)
+    old, actions = world.request(mine[10])
+    sent = single_fetch(actions)
     fail(world, "c1", Outcome.UNREACHABLE, 1000)
-    world.end(old, sent, note=Note.HIT)
-    assert world.router.servers["c1"].down_until
+    world.finish(old, sent, note=Note.HIT)
+    assert world.router.servers["c1"].ejected_until
 
 
 def test_quick_errors_are_retried_and_do_not_take_the_cache_out() -> None:
-    world = World()
-    name, actions = world.ask("x")
-    first = fetch(actions)
-    again = sends(world.end(name, first, Outcome.ERROR, after=3000))[0]
+    world = RouterHarness()
+    name, actions = world.request("x")
+    first = single_fetch(actions)
+    again = sent_attempts(world.finish(name, first, Outcome.ERROR, after=3000))[0]
     assert again.server == first.server, "once more where the copy is"
-    last = sends(world.end(name, again, Outcome.ERROR, after=3000, attempt=1))[0]
+    last = sent_attempts(world.finish(name, again, Outcome.ERROR, after=3000, attempt=1))[0]
     assert last.server != first.server
     fail(world, "c1", Outcome.ERROR, 3000, times=6)
-    assert not world.router.servers["c1"].down_until
+    assert not world.router.servers["c1"].ejected_until
 
 
 def test_late_errors_take_neither_caches_nor_sources_out_where_notes_tell_all() -> None:
-    world = World()
+    world = RouterHarness()
     for i in range(120):
-        name, actions = world.ask(f"k{i}")
-        sent = fetch(actions)
+        name, actions = world.request(f"k{i}")
+        sent = single_fetch(actions)
         if i % 3:
-            world.end(name, sent, note=Note.HIT)
+            world.finish(name, sent, note=Note.HIT)
             continue
-        world.do(api.Finished(name, 0, sent.server, Outcome.ERROR, 200_000, True), 200_000)
+        world.handle(api.Finished(name, 0, sent.server, Outcome.ERROR, 200_000, True), 200_000)
     servers = world.router.servers.values()
-    assert not any(s.down_until for s in servers)
-    assert all(s.part == 1.0 for s in servers if s.role == "parent")
-    assert all(fetch(world.ask(f"n{i}")[1]).source in ("p0", "p1") for i in range(50))
+    assert not any(s.ejected_until for s in servers)
+    assert all(s.admission_share == 1.0 for s in servers if s.role == "parent")
+    assert all(single_fetch(world.request(f"n{i}")[1]).source in ("p0", "p1") for i in range(50))
 
 
 def test_refusals_of_a_crowded_cache_are_no_strikes_but_shrink_its_part() -> None:
-    world = World()
+    world = RouterHarness()
     for _ in range(40):
         fail(world, "c1", Outcome.FULL, 1000, times=1)
         world.now += SEC
-    assert not world.router.servers["c1"].down_until
-    assert world.router.servers["c1"].part < 0.5
+    assert not world.router.servers["c1"].ejected_until
+    assert world.router.servers["c1"].admission_share < 0.5
 
 
 def test_slow_answers_shrink_the_part_and_the_others_keep_their_objects() -> None:
-    world = World()
+    world = RouterHarness()
     mine, others = owned_by(world, "c1", 60), owned_by(world, "c2", 30)
     for i in range(60):
-        name, actions = world.ask(mine[i % 60])
-        sent = fetch(actions)
-        world.end(name, sent, note=Note.HIT, after=800_000 if sent.server == "c1" else 120_000)
-    moved = [fetch(world.ask(o)[1]).server != "c1" for o in mine]
+        name, actions = world.request(mine[i % 60])
+        sent = single_fetch(actions)
+        world.finish(name, sent, note=Note.HIT, after=800_000 if sent.server == "c1" else 120_000)
+    moved = [single_fetch(world.request(o)[1]).server != "c1" for o in mine]
     assert any(moved)
-    assert all(fetch(world.ask(o)[1]).server == "c2" for o in others)
+    assert all(single_fetch(world.request(o)[1]).server == "c2" for o in others)
 
 
-def reporting(held: float, waited: int = 0) -> World:
+def reporting(held: float, waited: int = 0) -> RouterHarness:
     """A world whose caches, of four transfers each, last reported so many requests in hand."""
-    world = World(with_settings(nominal_weights=True, report=("busy_reqs",), direct=False))
-    world.change(*(api.Entry(f"c{i}", "edge-1", "box", weight=4.0) for i in range(4)))
+    world = RouterHarness(with_settings(nominal_weights=True, report=("busy_reqs",), direct=False))
+    world.update_servers(*(api.Entry(f"c{i}", "edge-1", "box", weight=4.0) for i in range(4)))
     last = [owned_by(world, f"c{i}", 1)[0] for i in range(4)]
     for no, obj in enumerate([f"w{i}" for i in range(60)] + last):
-        name, actions = world.ask(obj)
-        sent, took, load = fetch(actions), 120_000 + waited, held if no >= 60 else 2.0
+        name, actions = world.request(obj)
+        sent, took, load = single_fetch(actions), 120_000 + waited, held if no >= 60 else 2.0
         done = api.Finished(name, 0, sent.server, Outcome.SERVED, took, True, Note.HIT, waited, (load,))
-        world.do(done, took)
+        world.handle(done, took)
     return world
 
 
 def test_a_rush_is_refused_by_the_reports_before_answers_are_late_and_let_in_once_they_tell_of_room() -> None:
-    assert all(sends(reporting(4.0).ask(f"n{i}")[1]) for i in range(20))
+    assert all(sent_attempts(reporting(4.0).request(f"n{i}")[1]) for i in range(20))
     world = reporting(40.0)
-    assert all(world.router.slowness(s) < 1.5 for s in world.router.servers.values())
-    assert not any(sends(world.ask(f"n{i}")[1]) for i in range(20))
+    assert all(world.router.current_latency_ratio(s) < 1.5 for s in world.router.servers.values())
+    assert not any(sent_attempts(world.request(f"n{i}")[1]) for i in range(20))
     for server in world.router.servers.values():
-        server.slow, server.slow_at, server.others = 8.0, world.now, 0.0
-    assert all(sends(world.ask(f"m{i}")[1]) for i in range(4))
+        server.latency_ratio, server.latency_sampled_at, server.load_of_others = 8.0, world.now, 0.0
+    assert all(sent_attempts(world.request(f"m{i}")[1]) for i in range(4))
 
 
 def test_a_report_that_is_repeated_does_not_make_the_others_vanish_while_this_router_sends_more() -> None:
     """Two routers that fill the same cache together: each report is older than what both sent since."""
     world = reporting(10.0)
     cache = world.router.servers["c0"]
-    assert cache.others == 10.0
-    mine = [(name, fetch(actions)) for name, actions in (world.ask(o) for o in owned_by(world, "c0", 9))]
-    assert len(mine) == 9 and cache.others == 10.0
+    assert cache.load_of_others == 10.0
+    mine = [
+        (name, single_fetch(actions))
+        for name, actions in (world.request(o) for o in owned_by(world, "c0", 9))
+    ]
+    assert len(mine) == 9 and cache.load_of_others == 10.0
     name, sent = mine[0]
     done = api.Finished(name, 0, sent.server, Outcome.SERVED, 120_000, True, Note.HIT, 0, (10.0,))
-    world.do(done, 120_000)
-    assert cache.others == 10.0, "the same report again"
-    world.do(replace(done, id=mine[1][0], load=(24.0,)), 1000)
-    assert cache.others == 24.0 - len(cache.out) < 20.0, "a new one, against what is out now"
+    world.handle(done, 120_000)
+    assert cache.load_of_others == 10.0, "the same report again"
+    world.handle(replace(done, id=mine[1][0], load=(24.0,)), 1000)
+    assert cache.load_of_others == 24.0 - len(cache.in_flight) < 20.0, "a new one, against what is out now"
 
 
 def test_a_fill_at_a_crowded_cache_is_begun_only_with_a_margin_and_a_hit_is_still_asked_for() -> None:
-    sources = [fetch(reporting(held).ask("n1", kb=300.0, left=4 * SEC)[1]) for held in (4.0, 10.0)]
+    sources = [
+        single_fetch(reporting(held).request("n1", size_kb=300.0, time_left=4 * SEC)[1])
+        for held in (4.0, 10.0)
+    ]
     assert [s.only_held or s.source == s.server for s in sources] == [False, True]
 
 
 def test_requests_that_wait_for_a_slow_source_do_not_count_as_crowding() -> None:
     world = reporting(12.0, waited=2_000_000)
-    assert all(sends(world.ask(f"n{i}", left=4 * SEC)[1]) for i in range(4))
+    assert all(sent_attempts(world.request(f"n{i}", time_left=4 * SEC)[1]) for i in range(4))
 
 
 def test_waiting_for_a_parents_copy_does_not_speak_against_the_link() -> None:
     slow = []
     for waited in (900_000, 0):
-        world = World()
+        world = RouterHarness()
         for i in range(40):
-            name, actions = world.ask(f"w{i}")
-            sent, took = fetch(actions), 1_000_000
+            name, actions = world.request(f"w{i}")
+            sent, took = single_fetch(actions), 1_000_000
             note = Note.FILLED
-            world.do(api.Finished(name, 0, sent.server, Outcome.SERVED, took, True, note, waited), took)
-        slow.append(world.router.slowness(world.router.inlet))
+            world.handle(api.Finished(name, 0, sent.server, Outcome.SERVED, took, True, note, waited), took)
+        slow.append(world.router.current_latency_ratio(world.router.inbound_link))
     assert slow[0] < 1.2 and slow[1] > 1.5, "without a wait that is told it does"
 
 
 def test_all_caches_crowded_refuses_what_would_be_late() -> None:
-    world = World(with_settings(direct=False))
+    world = RouterHarness(with_settings(direct=False))
     for server in world.router.servers.values():
         if server.role == "cache":
-            server.slow, server.part, server.part_at, server.slow_at = 8.0, 0.0, world.now, world.now
-    name, actions = world.ask("big", kb=500.0)
-    assert finals(actions) == [api.Refuse(name, 500_000)]
-    assert sends(world.ask("small", "pages", kb=1.0)[1])
+            (
+                server.latency_ratio,
+                server.admission_share,
+                server.share_updated_at,
+                server.latency_sampled_at,
+            ) = 8.0, 0.0, world.now, world.now
+    name, actions = world.request("big", size_kb=500.0)
+    assert final_answers(actions) == [api.Refuse(name, 500_000)]
+    assert sent_attempts(world.request("small", "pages", size_kb=1.0)[1])
 
 
 def test_silent_cache_is_left_before_the_clients_deadline() -> None:
-    world = World()
+    world = RouterHarness()
     mine = owned_by(world, "c1", 6)
-    asked = [world.ask(o) for o in mine]
+    asked = [world.request(o) for o in mine]
     timers = [a for _, actions in asked for a in actions if isinstance(a, api.SetTimer)]
     world.now += max(t.delay for t in timers)
-    actions = [a for t in timers for a in world.do(api.TimerDue(t.token))]
-    assert world.router.servers["c1"].down_until
-    assert {s.server for s in sends(actions)} and all(s.server != "c1" for s in sends(actions))
+    actions = [a for t in timers for a in world.handle(api.TimerDue(t.token))]
+    assert world.router.servers["c1"].ejected_until
+    assert {s.server for s in sent_attempts(actions)} and all(
+        s.server != "c1" for s in sent_attempts(actions)
+    )
 
 
 def test_without_second_copies_the_late_attempt_is_cancelled_first() -> None:
-    world = World(with_settings(second_copies=False))
+    world = RouterHarness(with_settings(second_copies=False))
     mine = owned_by(world, "c1", 6)
-    asked = [world.ask(o) for o in mine]
+    asked = [world.request(o) for o in mine]
     timers = [a for _, actions in asked for a in actions if isinstance(a, api.SetTimer)]
     world.now += max(t.delay for t in timers)
-    actions = [a for t in timers for a in world.do(api.TimerDue(t.token))]
+    actions = [a for t in timers for a in world.handle(api.TimerDue(t.token))]
     cancels = [a for a in actions if isinstance(a, api.Cancel)]
-    assert cancels and not sends(actions)
-    again = world.end(cancels[0].id, fetch(asked[0][1]), Outcome.CANCELLED)
-    assert sends(again)
+    assert cancels and not sent_attempts(actions)
+    again = world.finish(cancels[0].id, single_fetch(asked[0][1]), Outcome.CANCELLED)
+    assert sent_attempts(again)
 
 
 def test_unknown_ids_are_passed_over() -> None:
-    world = World()
-    assert world.do(api.Finished("nobody", 0, "c0", Outcome.SERVED, 5, True)) == []
-    assert world.do(api.Finished("nobody", 0, "nowhere", Outcome.ERROR)) == []
-    assert world.do(api.TimerDue(999)) == []
-    assert world.do(api.ClientGone("nobody")) == []
-    assert world.do(api.Probed("nowhere", Outcome.SERVED)) == []
+    world = RouterHarness()
+    assert world.handle(api.Finished("nobody", 0, "c0", Outcome.SERVED, 5, True)) == []
+    assert world.handle(api.Finished("nobody", 0, "nowhere", Outcome.ERROR)) == []
+    assert world.handle(api.TimerDue(999)) == []
+    assert world.handle(api.ClientGone("nobody")) == []
+    assert world.handle(api.Probed("nowhere", Outcome.SERVED)) == []
 
 
 def test_objects_asked_for_again_rank_above_one_offs() -> None:
-    world = World()
-    assert fetch(world.ask("x")[1]).rank == 1
-    assert fetch(world.ask("x")[1]).rank == 2
+    world = RouterHarness()
+    assert single_fetch(world.request("x")[1]).rank == 1
+    assert single_fetch(world.request("x")[1]).rank == 2
 
 
 def test_rush_on_one_object_goes_to_more_than_one_cache_and_ends_with_it() -> None:
     """Incident i729362: a few objects at once took a good part of all bytes, each at one home."""
-    world = World()
+    world = RouterHarness()
     for i in range(100):
-        world.serve(f"o{i}")
-    rush = [fetch(world.ask("hot")[1]).server for _ in range(60)]
+        world.serve_hit(f"o{i}")
+    rush = [single_fetch(world.request("hot")[1]).server for _ in range(60)]
     assert len(set(rush)) > 1
     world.now += 60 * SEC
     for i in range(100):
-        world.serve(f"o{i}")
-    assert fetch(world.ask("hot")[1]).server == rush[0]
+        world.serve_hit(f"o{i}")
+    assert single_fetch(world.request("hot")[1]).server == rush[0]
 
 
 def test_failed_origin_is_not_asked_again_but_a_stale_copy_is() -> None:
-    world = World()
-    name, actions = world.ask("x", "pages")
-    first = fetch(actions)
-    again = world.end(name, first, Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
-    (held,) = sends(again)
+    world = RouterHarness()
+    name, actions = world.request("x", "pages")
+    first = single_fetch(actions)
+    again = world.finish(name, first, Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
+    (held,) = sent_attempts(again)
     assert isinstance(held, api.Fetch) and held.source == held.server == first.server
     assert held.max_age == 28 * SEC
-    name, actions = world.ask("y", "media")
-    assert finals(world.end(name, fetch(actions), Outcome.FULL, Note.ORIGIN_FAILED, after=1000))
+    name, actions = world.request("y", "media")
+    assert final_answers(
+        world.finish(name, single_fetch(actions), Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
+    )
 
 
 def test_what_a_parent_refuses_goes_to_another_parent_never_past_them() -> None:
-    world = World()
-    name, actions = world.ask("x")
-    first = fetch(actions)
-    (second,) = sends(world.end(name, first, Outcome.FULL, Note.SOURCE_REFUSED, after=1000))
+    world = RouterHarness()
+    name, actions = world.request("x")
+    first = single_fetch(actions)
+    (second,) = sent_attempts(world.finish(name, first, Outcome.FULL, Note.SOURCE_REFUSED, after=1000))
     assert isinstance(second, api.Fetch)
     assert second.server == first.server and {first.source, second.source} == {"p0", "p1"}
-    last = world.end(name, second, Outcome.FULL, Note.SOURCE_REFUSED, after=1000, attempt=1)
-    assert all(a.source != "o" for a in sends(last) if isinstance(a, api.Fetch))
+    last = world.finish(name, second, Outcome.FULL, Note.SOURCE_REFUSED, after=1000, attempt=1)
+    assert all(a.source != "o" for a in sent_attempts(last) if isinstance(a, api.Fetch))
 
 
 def test_a_stale_copy_is_not_asked_of_a_cache_that_drains_meanwhile() -> None:
     """A standard day broke drain: the second ask for a stale copy went to the same cache unlooked."""
-    world = World()
-    name, actions = world.ask("x", "pages")
-    first = fetch(actions)
-    world.change(api.Entry(first.server, "edge-1", "box", state=api.State.DRAINING))
-    after = world.end(name, first, Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
-    assert finals(after) and not sends(after)
+    world = RouterHarness()
+    name, actions = world.request("x", "pages")
+    first = single_fetch(actions)
+    world.update_servers(api.Entry(first.server, "edge-1", "box", state=api.State.DRAINING))
+    after = world.finish(name, first, Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
+    assert final_answers(after) and not sent_attempts(after)
 
 
 def test_a_location_where_all_are_slow_alike_moves_nothing() -> None:
     """Moving objects between caches that are all crowded adds misses to the crowd."""
-    world = World()
+    world = RouterHarness()
     for i in range(120):
-        name, actions = world.ask(f"o{i}", kb=5.0)
-        if sent := sends(actions):
-            world.end(name, sent[0], note=Note.HIT, after=200_000)
+        name, actions = world.request(f"o{i}", size_kb=5.0)
+        if sent := sent_attempts(actions):
+            world.finish(name, sent[0], note=Note.HIT, after=200_000)
     caches = [s for s in world.router.servers.values() if s.role == "cache"]
-    assert all(s.slow > 1.5 for s in caches) and all(s.part > 0.8 for s in caches)
+    assert all(s.latency_ratio > 1.5 for s in caches) and all(s.admission_share > 0.8 for s in caches)
 
 
 def test_a_parent_that_jams_is_relieved_and_what_none_takes_is_asked_of_the_cache_alone() -> None:
-    world = World()
+    world = RouterHarness()
     for parent in ("p0", "p1"):
-        world.router.servers[parent].part = 0.0
-        world.router.servers[parent].part_at = world.now
-    sent = fetch(world.ask("x")[1])
+        world.router.servers[parent].admission_share = 0.0
+        world.router.servers[parent].share_updated_at = world.now
+    sent = single_fetch(world.request("x")[1])
     assert sent.source == sent.server
 
 
 def test_a_source_that_refused_is_asked_in_full_again_although_nothing_shows_that_it_recovered() -> None:
     """A grown day: each of many routers asked the shed origin too seldom, and went on shedding."""
-    world = World()
+    world = RouterHarness()
     origin = world.router.servers["o"]
     for i in range(60):
-        name, actions = world.ask(f"o{i}")
-        if sent := sends(actions):
-            world.end(name, sent[0], Outcome.FULL, Note.ORIGIN_FAILED, after=100_000)
-    assert origin.part < 0.5
+        name, actions = world.request(f"o{i}")
+        if sent := sent_attempts(actions):
+            world.finish(name, sent[0], Outcome.FULL, Note.ORIGIN_FAILED, after=100_000)
+    assert origin.admission_share < 0.5
     for i in range(30):
         world.now += SEC
-        world.serve(f"n{i}")
-    assert origin.part == 1.0
+        world.serve_hit(f"n{i}")
+    assert origin.admission_share == 1.0
 
 
 def test_cold_parents_leave_the_rest_to_the_origin() -> None:
     """With one parent lost and the other cold nothing was filled at all."""
-    world = World()
-    world.change(
+    world = RouterHarness()
+    world.update_servers(
         api.Entry("p0", "hub", "parent", state=api.State.GONE),
         api.Entry("p1", "hub", "parent", started=world.now),
     )
-    assert {fetch(world.ask(f"n{i}")[1]).source for i in range(50)} >= {"o"}
+    assert {single_fetch(world.request(f"n{i}")[1]).source for i in range(50)} >= {"o"}
 
 
 def test_a_jammed_source_takes_what_is_worth_most_a_byte() -> None:
-    world = World()
+    world = RouterHarness()
     for i in range(60):
-        world.serve(f"m{i}")
-        name, actions = world.ask(f"p{i}", "pages", kb=15.0)
-        world.end(name, fetch(actions), note=Note.HIT, after=20_000)
+        world.serve_hit(f"m{i}")
+        name, actions = world.request(f"p{i}", "pages", size_kb=15.0)
+        world.finish(name, single_fetch(actions), note=Note.HIT, after=20_000)
     for parent in ("p0", "p1"):
-        world.router.servers[parent].part = 0.3
-        world.router.servers[parent].part_at = world.now
-    small = [fetch(world.ask(f"s{i}", "pages", kb=15.0)[1]) for i in range(60)]
-    large = [fetch(world.ask(f"l{i}", "media", kb=600.0)[1]) for i in range(60)]
+        world.router.servers[parent].admission_share = 0.3
+        world.router.servers[parent].share_updated_at = world.now
+    small = [single_fetch(world.request(f"s{i}", "pages", size_kb=15.0)[1]) for i in range(60)]
+    large = [single_fetch(world.request(f"l{i}", "media", size_kb=600.0)[1]) for i in range(60)]
     filled = [sum(f.source != f.server for f in some) for some in (small, large)]
     assert filled[0] > 2 * filled[1] > 0
 
 
 def test_fills_that_would_come_late_are_not_tried_while_the_inlet_is_slow() -> None:
     """One location's link in was full: hits were quick, parents refused nothing, and all fills came late."""
-    world = World()
+    world = RouterHarness()
     for i in range(40):
-        world.serve(f"h{i}")
-        name, actions = world.ask(f"f{i}", kb=300.0)
-        for out in sends(actions):
-            world.end(name, out, note=Note.FILLED, after=1_800_000)
-    name, actions = world.ask("x", kb=300.0)
-    sent = fetch(actions)
+        world.serve_hit(f"h{i}")
+        name, actions = world.request(f"f{i}", size_kb=300.0)
+        for out in sent_attempts(actions):
+            world.finish(name, out, note=Note.FILLED, after=1_800_000)
+    name, actions = world.request("x", size_kb=300.0)
+    sent = single_fetch(actions)
     assert sent.source == sent.server, "a hit will do"
-    assert finals(world.end(name, sent, Outcome.MISS, after=1000))
+    assert final_answers(world.finish(name, sent, Outcome.MISS, after=1000))
     world.now += 10 * SEC
-    again = fetch(world.ask("x", kb=300.0)[1])
+    again = single_fetch(world.request("x", size_kb=300.0)[1])
     assert again.source != again.server, "the slowness is forgotten"
 
 
 def test_a_refusal_that_took_long_is_the_sources_where_notes_are_few() -> None:
-    world = World(with_settings(notes="hit", flow_kb_per_s=0.0))
-    name, actions = world.ask("x")
-    first = fetch(actions)
-    world.end(name, first, Outcome.FULL, after=60_000)
-    assert world.router.servers[first.source].full and world.router.servers[first.server].slow == 1.0
+    world = RouterHarness(with_settings(notes="hit", flow_kb_per_s=0.0))
+    name, actions = world.request("x")
+    first = single_fetch(actions)
+    world.finish(name, first, Outcome.FULL, after=60_000)
+    assert (
+        world.router.servers[first.source].refusal_rate
+        and world.router.servers[first.server].latency_ratio == 1.0
+    )
 
 
 def test_with_every_cache_crowded_and_the_inlet_free_a_parent_is_asked_directly() -> None:
-    world = World()
+    world = RouterHarness()
     for server in world.router.servers.values():
         if server.role == "cache":
-            server.slow, server.part, server.part_at, server.slow_at = 8.0, 0.0, world.now, world.now
-    assert fetch(world.ask("big", kb=500.0)[1]).server in ("p0", "p1")
-    world.router.inlet.slow, world.router.inlet.slow_at = 3.0, world.now
-    assert finals(world.ask("big", kb=500.0)[1])
+            (
+                server.latency_ratio,
+                server.admission_share,
+                server.share_updated_at,
+                server.latency_sampled_at,
+            ) = 8.0, 0.0, world.now, world.now
+    assert single_fetch(world.request("big", size_kb=500.0)[1]).server in ("p0", "p1")
+    world.router.inbound_link.latency_ratio, world.router.inbound_link.latency_sampled_at = 3.0, world.now
+    assert final_answers(world.request("big", size_kb=500.0)[1])
 
 
 def test_what_cannot_be_sent_before_the_client_leaves_is_not_begun() -> None:
     """Oversized objects filled links for seconds and were never answered in time."""
-    world = World()
-    name, actions = world.ask("huge", kb=6000.0)
-    assert not sends(actions) and finals(actions) == [api.Refuse(name, 500_000)]
-    assert sends(world.ask("large", kb=3000.0)[1])
+    world = RouterHarness()
+    name, actions = world.request("huge", size_kb=6000.0)
+    assert not sent_attempts(actions) and final_answers(actions) == [api.Refuse(name, 500_000)]
+    assert sent_attempts(world.request("large", size_kb=3000.0)[1])
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parents[1] / "onyxpulley" / "control.py"
+MODULE = Path(__file__).parents[1] / "onyxpulley" / "router.py"
 
 
 def test_module_limits() -> None:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -22,7 +22,7 @@
 from onyxpulley.servers import Servers
 from onyxpulley.wires import PlainWire
 
-from .helpers import World as Decisions
+from .helpers import RouterHarness as Decisions
 from .helpers import entries, with_settings
 from .player import SETTINGS, Play
 
@@ -320,13 +320,13 @@
     """An entry refers to every server of its role, so there are the fewer of them."""
     world = Decisions(with_settings(memo=500), entries(caches=servers))
     for no in range(600):
-        world.router.ranked("cache", f"x{no}")
-    ranks = world.router.ranks
+        world.router.ranking("cache", f"x{no}")
+    ranks = world.router.rankings
     assert sum(8 * len(row) for row in ranks.values()) <= 500 * ENTRY
     assert len(ranks) >= 40, "and still enough to be of use"
     world.router.configure(with_settings(memo=100))
-    world.router.ranked("cache", "x0")
-    assert not len(ranks) > 1 and ranks.most <= 100
+    world.router.ranking("cache", "x0")
+    assert not len(ranks) > 1 and ranks.max_entries <= 100
 
 
 LONG = "s" * 124
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,13 +6,24 @@
 from hypothesis import strategies as st
 
 from onyxpulley import interface as api
-from onyxpulley.control import Router
 from onyxpulley.interface import Note, Outcome, State
-
-from .helpers import BASE, KEYED, SEC, START, World, entries, fetch, finals, sends, with_settings
+from onyxpulley.router import Router
+
+from .helpers import (
+    BASE_SETTINGS,
+    KEYED,
+    SEC,
+    START,
+    RouterHarness,
+    entries,
+    final_answers,
+    sent_attempts,
+    single_fetch,
+    with_settings,
+)
 
 SETTINGS = [
-    BASE,
+    BASE_SETTINGS,
     with_settings(second_copies=False, notes="hit", flow_kb_per_s=0.0, probes=True),
     with_settings(direct=False, joins=False, come_back=False, subscribe=True),
     with_settings(parent_kind=None, cancel=False, max_attempts=1, nominal_weights=True),
@@ -153,125 +164,125 @@
 
 
 def test_no_server_at_all_refuses_at_once() -> None:
-    world = World(rows=())
-    name, actions = world.ask()
-    assert finals(actions) == [api.Refuse(name, 500_000)]
+    world = RouterHarness(rows=())
+    name, actions = world.request()
+    assert final_answers(actions) == [api.Refuse(name, 500_000)]
 
 
 def test_no_time_left_is_answered_at_once() -> None:
-    name, actions = World().ask(left=0)
-    assert not sends(actions) and finals(actions) == [api.Refuse(name, 500_000)]
+    name, actions = RouterHarness().request(time_left=0)
+    assert not sent_attempts(actions) and final_answers(actions) == [api.Refuse(name, 500_000)]
 
 
 def test_unsafe_that_may_have_run_fails_and_is_not_resent() -> None:
-    world = World()
-    name, actions = world.ask(cls="sign")
-    (sent,) = sends(actions)
+    world = RouterHarness()
+    name, actions = world.request(cls="sign")
+    (sent,) = sent_attempts(actions)
     assert sent.server == "o"
-    assert finals(world.end(name, sent, Outcome.BROKEN)) == [api.Fail(name)]
+    assert final_answers(world.finish(name, sent, Outcome.BROKEN)) == [api.Fail(name)]
 
 
 def test_unsafe_that_surely_never_ran_goes_elsewhere() -> None:
-    world = World()
-    name, actions = world.ask(cls="sign")
-    (sent,) = sends(actions)
-    after = world.end(name, sent, Outcome.UNREACHABLE)
-    assert sends(after) and not finals(after)
+    world = RouterHarness()
+    name, actions = world.request(cls="sign")
+    (sent,) = sent_attempts(actions)
+    after = world.finish(name, sent, Outcome.UNREACHABLE)
+    assert sent_attempts(after) and not final_answers(after)
 
 
 def test_keyed_stays_in_its_cell_and_window() -> None:
-    world = World(with_settings(direct=False))
-    name, actions = world.ask(cls=KEYED.name)
-    sent = fetch(actions)
+    world = RouterHarness(with_settings(direct=False))
+    name, actions = world.request(cls=KEYED.name)
+    sent = single_fetch(actions)
     cell = int(sent.server[1]) // 2
-    again = sends(world.end(name, sent, Outcome.BROKEN, after=1000))
+    again = sent_attempts(world.finish(name, sent, Outcome.BROKEN, after=1000))
     assert [int(a.server[1]) // 2 for a in again] == [cell]
-    late = world.end(name, again[0], Outcome.BROKEN, after=2 * SEC, attempt=1)
-    assert not sends(late) and finals(late) == [api.Fail(name)]
+    late = world.finish(name, again[0], Outcome.BROKEN, after=2 * SEC, attempt=1)
+    assert not sent_attempts(late) and final_answers(late) == [api.Fail(name)]
 
 
 def test_drained_server_is_neither_asked_nor_named_from_the_event_on() -> None:
-    world = World()
-    home = world.serve("x")
-    world.change(api.Entry(home.server, "edge-1", "box", state=State.DRAINING))
-    world.change(api.Entry(home.source, "hub", "parent", state=State.DRAINING))
-    moved = fetch(world.ask("x")[1])
+    world = RouterHarness()
+    home = world.serve_hit("x")
+    world.update_servers(api.Entry(home.server, "edge-1", "box", state=State.DRAINING))
+    world.update_servers(api.Entry(home.source, "hub", "parent", state=State.DRAINING))
+    moved = single_fetch(world.request("x")[1])
     assert moved.server != home.server and moved.source != home.source
 
 
 def test_full_list_without_a_server_removes_it() -> None:
-    world = World()
-    home = world.serve("x")
-    world.do(api.Listing(api.ListKind.FULL, tuple(e for e in entries() if e.server != home.server)))
-    assert fetch(world.ask("x")[1]).server != home.server
+    world = RouterHarness()
+    home = world.serve_hit("x")
+    world.handle(api.Listing(api.ListKind.FULL, tuple(e for e in entries() if e.server != home.server)))
+    assert single_fetch(world.request("x")[1]).server != home.server
 
 
 def test_purge_bounds_the_age_until_no_old_copy_can_be_left() -> None:
-    world = World()
-    world.do(api.Purged(1, 200_000, "x"))
-    assert fetch(world.ask("x")[1]).max_age in range(1, 200_001)
+    world = RouterHarness()
+    world.handle(api.Purged(1, 200_000, "x"))
+    assert single_fetch(world.request("x")[1]).max_age in range(1, 200_001)
     world.now += 1 * SEC
-    assert 1 * SEC < fetch(world.ask("x", "pages")[1]).max_age <= 1_200_000
-    assert fetch(world.ask("y")[1]).max_age == 0
+    assert 1 * SEC < single_fetch(world.request("x", "pages")[1]).max_age <= 1_200_000
+    assert single_fetch(world.request("y")[1]).max_age == 0
     world.now += 10 * SEC
-    assert fetch(world.ask("x")[1]).max_age == 0
+    assert single_fetch(world.request("x")[1]).max_age == 0
 
 
 def test_purge_of_this_very_moment_is_no_bound_of_zero() -> None:
-    world = World()
-    world.do(api.Purged(1, 0))
-    assert fetch(world.ask("x")[1]).max_age == 1
+    world = RouterHarness()
+    world.handle(api.Purged(1, 0))
+    assert single_fetch(world.request("x")[1]).max_age == 1
 
 
 def test_cold_cache_gets_a_part_of_its_objects_and_no_more_than_its_budget() -> None:
-    world = World()
+    world = RouterHarness()
     for i in range(200):
-        world.serve(f"o{i}")
+        world.serve_hit(f"o{i}")
     cold = api.Entry("c0", "edge-1", "box", started=world.now)
-    world.change(cold)
-    hits = [fetch(world.ask(f"n{i}")[1]).server for i in range(400)]
+    world.update_servers(cold)
+    hits = [single_fetch(world.request(f"n{i}")[1]).server for i in range(400)]
     assert 0 < hits.count("c0") < 0.4 * 400 / 4
 
 
 def test_cold_parent_gets_a_part_of_its_objects() -> None:
-    world = World()
+    world = RouterHarness()
     for i in range(100):
-        world.serve(f"o{i}")
-    world.change(api.Entry("p0", "hub", "parent", started=world.now))
-    named = [fetch(world.ask(f"n{i}")[1]).source for i in range(400)]
+        world.serve_hit(f"o{i}")
+    world.update_servers(api.Entry("p0", "hub", "parent", started=world.now))
+    named = [single_fetch(world.request(f"n{i}")[1]).source for i in range(400)]
     assert named.count("p0") < 0.3 * 400 / 2
 
 
 def test_note_of_a_lost_source_is_not_booked_to_the_cache() -> None:
-    world = World()
+    world = RouterHarness()
     for i in range(40):
-        name, actions = world.ask(f"o{i}")
-        sent = fetch(actions)
+        name, actions = world.request(f"o{i}")
+        sent = single_fetch(actions)
         if sent.source == "p0":
-            again = world.end(name, sent, Outcome.FULL, Note.SOURCE_LOST, after=1000)
-            assert sends(again)[0].server == sent.server
-    assert fetch(world.ask("z")[1]).source == "p1"
-    assert world.router.servers["p0"].down_until and not world.router.servers["c0"].down_until
+            again = world.finish(name, sent, Outcome.FULL, Note.SOURCE_LOST, after=1000)
+            assert sent_attempts(again)[0].server == sent.server
+    assert single_fetch(world.request("z")[1]).source == "p1"
+    assert world.router.servers["p0"].ejected_until and not world.router.servers["c0"].ejected_until
 
 
 def test_small_requests_to_a_cold_cache_count_as_the_mean_of_their_class() -> None:
     """A found day sent a cold cache many small ones: booked at their own size, where the mean counts."""
-    world = World()
+    world = RouterHarness()
     for i in range(50):
-        name, actions = world.ask(f"o{i}", kb=400.0)
-        world.end(name, fetch(actions), note=Note.HIT, after=400_000)
-    world.change(api.Entry("c0", "edge-1", "box", started=world.now))
-    sent = [fetch(world.ask(f"n{i}", kb=1.0)[1]).server for i in range(60)].count("c0")
-    assert sent and world.router.servers["c0"].sent_cold.total > sent * 150_000
+        name, actions = world.request(f"o{i}", size_kb=400.0)
+        world.finish(name, single_fetch(actions), note=Note.HIT, after=400_000)
+    world.update_servers(api.Entry("c0", "edge-1", "box", started=world.now))
+    sent = [single_fetch(world.request(f"n{i}", size_kb=1.0)[1]).server for i in range(60)].count("c0")
+    assert sent and world.router.servers["c0"].slow_start_work.total > sent * 150_000
 
 
 def test_budget_does_not_swell_with_what_clients_repeat() -> None:
     """Incident i341efe: refused clients asked again, and the guess of a parent's capacity grew with them."""
-    world = World()
+    world = RouterHarness()
     for i in range(50):
-        name, actions = world.ask(f"o{i}")
-        world.end(name, fetch(actions), note=Note.FILLED)
-    before = world.router.own_capacity(world.router.servers["p0"])
+        name, actions = world.request(f"o{i}")
+        world.finish(name, single_fetch(actions), note=Note.FILLED)
+    before = world.router.capacity_share(world.router.servers["p0"])
     for i in range(200):
-        world.ask(f"m{i}")
-    assert world.router.own_capacity(world.router.servers["p0"]) <= before
+        world.request(f"m{i}")
+    assert world.router.capacity_share(world.router.servers["p0"]) <= before
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -10,10 +10,10 @@
 
 from onyxpulley import interface as api
 
-from .helpers import BASE, SEC, START, World, entries, sends, with_settings
+from .helpers import BASE_SETTINGS, SEC, START, RouterHarness, entries, sent_attempts, with_settings
 
 SIZE_KB = 100.0
-WORK = SIZE_KB / BASE.flow_kb_per_s * SEC  # us of one transfer for a request
+WORK = SIZE_KB / BASE_SETTINGS.flow_kb_per_s * SEC  # us of one transfer for a request
 WEIGHT = 8.0  # transfers that a server's link carries
 PARENT_FROM, PARENT_TIME = 0.1, 18 * SEC
 STEP = SEC // 50
@@ -23,7 +23,7 @@
 
 def allowed(warmth: float, multiple: float) -> float:
     """Requests of mean work in one window, with the slack for chance that the platform grants."""
-    count = multiple * warmth * WEIGHT * BASE.cold_window / WORK
+    count = multiple * warmth * WEIGHT * BASE_SETTINGS.cold_window / WORK
     if count < 30:
         return count + 3 * math.sqrt(count) + 3
     return count + 2 * math.sqrt(count) + 2
@@ -37,7 +37,7 @@
     )
 
 
-def started(count: int, cold: str, at: int) -> World:
+def started(count: int, cold: str, at: int) -> RouterHarness:
     """A router that starts now, or anew, and is told the list."""
     settings = with_settings(
         routers=count,
@@ -46,18 +46,18 @@
         parent_cold_from=PARENT_FROM,
         parent_cold_time=PARENT_TIME,
     )
-    return World(settings, rows(cold), at)
+    return RouterHarness(settings, rows(cold), at)
 
 
-def play_one(world: World, luck: random.Random, cold: str) -> int:
+def play_one(world: RouterHarness, luck: random.Random, cold: str) -> int:
     """One request with its retry after an error. How many of its attempts reach the cold server."""
-    name, actions = world.ask(f"x{luck.randrange(400)}", kb=SIZE_KB)
-    asked = sends(actions)
+    name, actions = world.request(f"x{luck.randrange(400)}", size_kb=SIZE_KB)
+    asked = sent_attempts(actions)
     if not asked:
         return 0
     bad = luck.random() < 0.1
     outcome = api.Outcome.ERROR if bad else api.Outcome.SERVED
-    asked += sends(world.end(name, asked[0], outcome, note=0 if bad else api.Note.FILLED, after=0))
+    asked += sent_attempts(world.finish(name, asked[0], outcome, note=0 if bad else api.Note.FILLED, after=0))
     return sum(cold in (a.server, getattr(a, "source", "")) for a in asked)
 
 
@@ -72,8 +72,10 @@
     worlds = [started(count, cold, START) for _ in range(count)]
     moments = {"none": lambda: DAY, "spread": lambda: luck.randrange(DAY), "together": lambda: 2 * SEC}
     again = [START + moments[restarts]() for _ in worlds]
-    multiple = BASE.cold_multiple if cold == "c0" else worlds[0].router.set.parent_cold_multiple
-    least, whole = (BASE.cold_from, BASE.cold_time) if cold == "c0" else (PARENT_FROM, PARENT_TIME)
+    multiple = BASE_SETTINGS.cold_multiple if cold == "c0" else worlds[0].router.settings.parent_cold_multiple
+    least, whole = (
+        (BASE_SETTINGS.cold_from, BASE_SETTINGS.cold_time) if cold == "c0" else (PARENT_FROM, PARENT_TIME)
+    )
     window: deque[int] = deque()
     sent = 0
     for at in range(START, START + DAY, STEP):
@@ -86,7 +88,7 @@
                 reached = play_one(world, luck, cold)
                 sent += reached
                 window.extend([at] * reached)
-        while window and window[0] < at - BASE.cold_window:
+        while window and window[0] < at - BASE_SETTINGS.cold_window:
             window.popleft()
         warmth = least + (1 - least) * min(1.0, (at - START) / whole)
         assert len(window) <= allowed(warmth, multiple), f"{(at - START) / SEC:.2f} s after its start"
