--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -10,7 +10,6 @@
 from onyxpulley import logs
 from onyxpulley.clock import PlatformClock, now_us
 from onyxpulley.config import BadConfig
-from onyxpulley.control import Router
 from onyxpulley.core import (
     Abort,
     Answer,
@@ -23,6 +22,7 @@
     Send,
     Verdict,
 )
+from onyxpulley.router import Router
 from onyxpulley.settings import Json, read_settings
 
 OUTCOMES = {
@@ -117,7 +117,7 @@
         """How many servers are listed, and how many of them the module avoids now."""
         known = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
         ready = [s for s in known if s.state is api.ServerState.READY]
-        return len(known), sum(not self.router.usable(s) for s in ready)
+        return len(known), sum(not self.router.is_usable(s) for s in ready)
 
     # ---- Requests
     def route(self, request: Request) -> Sequence[Command]:
@@ -183,7 +183,7 @@
 
     def answer_now(self, request: Request) -> Sequence[Command]:
         """The final answer now, whatever is out."""
-        return self._orders(self.router.settle(self.clock(), request.key))
+        return self._orders(self.router.force_answer(self.clock(), request.key))
 
     def recheck(self, attempt: Attempt) -> bool:
         """May it still be written? Renews the age bound, which a purge may have tightened meanwhile."""
