--- a/benchmarks/identities.py
+++ b/benchmarks/identities.py
@@ -20,11 +20,11 @@
 
 import uvloop
 
+from onyxpulley.server_streams import PlainTransport, ServerStream, TransportSecurity
 from onyxpulley.spiffe.peers import Rules
 from onyxpulley.spiffe.setup import Setup
 from onyxpulley.spiffe.sources import Files
 from onyxpulley.spiffe.trust import Keeper, Verified
-from onyxpulley.wires import Listed, Trust, Wire
 from tests.issuer import Domain
 
 ASK = b"fetch 9b1f03aa5c7e2d41 cls=page-file,item=7f3a9c21e0b4d655,chunk=0,limit=2000,fetch=p0 0\r\n\r\n"
@@ -56,14 +56,14 @@
     asyncio.run(main())
 
 
-async def opened(trust: Trust, port: int) -> Wire:
+async def opened(trust: TransportSecurity, port: int) -> ServerStream:
     sock = socket.socket()
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", port))
     return await trust.secure("c0", sock)
 
 
-async def ask(wire: Wire, room: memoryview) -> None:
+async def ask(wire: ServerStream, room: memoryview) -> None:
     await wire.send_all(ASK)
     left = len(ANSWER)
     while left:
@@ -74,7 +74,9 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * 4096
 
 
-async def measure(trust: Trust, port: int, connections: int, requests: int, keep: bool) -> dict[str, float]:
+async def measure(
+    trust: TransportSecurity, port: int, connections: int, requests: int, keep: bool
+) -> dict[str, float]:
     """`keep` the sessions of closed connections, or forget them: a full handshake each time."""
     room, wall, cpu = memoryview(bytearray(65_536)), list[float](), list[float]()
     wire = await opened(trust, port)
@@ -92,7 +94,7 @@
     wire = await opened(trust, port)
     used = time.process_time()
     for _ in range(requests):
-        assert not isinstance(wire, Verified) or wire.takes()
+        assert not isinstance(wire, Verified) or wire.accepts_requests()
         await ask(wire, room)
     each = (time.process_time() - used) / requests
     wire.close()
@@ -130,7 +132,7 @@
         setup = Setup(domain.name, files, "", True, "spiffe://letra.example/box/{id}", None, Rules(), None)
         rows: dict[str, dict[str, float]] = {}
         for what, plain, keep in (("plain", True, True), ("full", False, False), ("resumed", False, True)):
-            trust: Trust = Listed() if plain else Keeper(setup)
+            trust: TransportSecurity = PlainTransport() if plain else Keeper(setup)
             ours, theirs = multiprocessing.Pipe()
             process = multiprocessing.Process(target=box, args=(theirs, name, plain), daemon=True)
             process.start()
--- a/onyxpulley/admin.py
+++ b/onyxpulley/admin.py
@@ -58,7 +58,7 @@
             return told(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": str(problem)})
         if call.method not in ("GET", "HEAD"):
             what = f"{call.method} {'/'.join(parts)[:200]!r}"
-            logs.say(f"admin: {peer}: {what}: {response.status.value}")
+            logs.info(f"admin: {peer}: {what}: {response.status.value}")
         return response
 
     def _route(self, call: Call, parts: list[str]) -> Response:
--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -188,7 +188,7 @@
         while got and not self.closed:
             self.buffer.end += got
             self._take_in()
-            if self.closed or not self.stream.late_since:
+            if self.closed or not self.stream.delayed_since:
                 break
             got = self.stream.receive_now(self._room())
         return got != 0
@@ -270,14 +270,14 @@
             if len(self.open) >= OPEN:
                 return self._fail(words, "too many open requests")
             try:
-                request = read_request(words, self.front.classes, self.stream.late_since or self.used)
+                request = read_request(words, self.front.classes, self.stream.delayed_since or self.used)
             except ValueError as problem:
                 return self._fail(words, f"bad request: {problem}")
 
             def reply(answer: Answer) -> None:
                 self._reply(tag, answer)
 
-            request.reply, request.out_of_touch = reply, self.stream.out_of_touch
+            request.reply, request.out_of_touch = reply, self.stream.peer_may_have_left
             first, self.asked = not self.asked, self.used
             self.open[tag] = request
             self.front.exchange.take(request, first)
@@ -412,7 +412,7 @@
     def _count(self) -> None:
         if now_us() - self.said_at > 1_000_000:
             if self.said > LINES:
-                logs.say(f"client: {self.said - LINES} more like these")
+                logs.info(f"client: {self.said - LINES} more like these")
             self.said, self.said_at = 0, now_us()
 
     def sweep(self) -> None:
@@ -434,7 +434,7 @@
         self._count()
         self.said += 1
         if self.said <= LINES:
-            logs.say(f"client: {why}"[:200])
+            logs.info(f"client: {why}"[:200])
 
     def welcome(self, sock: socket.socket) -> None:
         self.all.add(Client(self, sock, self.failing_since))
@@ -443,7 +443,7 @@
         """Guards the memory against clients that do not read: the one that holds most goes."""
         worst = max(self.all, key=lambda c: c.held, default=None)
         if worst is not None:
-            logs.say(f"client: {worst.held} bytes unread, closed")
+            logs.info(f"client: {worst.held} bytes unread, closed")
             worst.close(CloseReason.MEMORY)
 
     def leave(self) -> None:
--- a/onyxpulley/clock.py
+++ b/onyxpulley/clock.py
@@ -40,8 +40,8 @@
 class PlatformClock:
     """The platform's time as its stamps prove it: at least as late as any stamp that has arrived.
 
-    Ages come with a bound on the safe side. `least_age_us` rests on the stamps of discovery alone: a server
-    that started counts as no older than is sure. `most_age_us` also takes this machine's clock and the stamps
+    Ages come with a bound on the safe side. `min_age_us` rests on the stamps of discovery alone: a server
+    that started counts as no older than is sure. `max_age_us` also takes this machine's clock and the stamps
     of copies: a copy counts as no younger than it may be.
     """
 
@@ -52,16 +52,16 @@
         self.proved: int | None = None  # the same of the platform's time, by discovery
         self.latest = self.own_offset  # by anything that speaks of the time
 
-    def saw_at_start(self, unix_ms: int) -> None:
+    def observe_initial(self, unix_ms: int) -> None:
         """A stamp of what is known at the start."""
         self._prove(unix_ms, self.own_offset + PLAUSIBLE)
 
-    def saw_event(self, unix_ms: int) -> None:
+    def observe_event(self, unix_ms: int) -> None:
         """A stamp of discovery. One that is far ahead of all others proves nothing."""
         known = self.latest if self.proved is None else max(self.proved, self.own_offset)
         self._prove(unix_ms, known + STEADY)
 
-    def saw_copy(self, unix_ms: int) -> None:
+    def observe_copy(self, unix_ms: int) -> None:
         """The stamp that the origin gave a copy."""
         offset = unix_ms * 1000 - self.clock()
         if offset <= self.own_offset + PLAUSIBLE:
@@ -73,11 +73,11 @@
             self.proved = offset if self.proved is None else max(self.proved, offset)
             self.latest = max(self.latest, offset)
 
-    def least_age_us(self, unix_ms: int) -> int:
+    def min_age_us(self, unix_ms: int) -> int:
         """0 where no stamp proves more."""
         if self.proved is None:
             return 0
         return max(0, self.proved + self.clock() - unix_ms * 1000)
 
-    def most_age_us(self, unix_ms: int) -> int:
+    def max_age_us(self, unix_ms: int) -> int:
         return self.latest + self.clock() - unix_ms * 1000
--- a/onyxpulley/config.py
+++ b/onyxpulley/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from onyxpulley.settings import read_settings
-from onyxpulley.system_calls import Meaning, meaning_of
+from onyxpulley.system_calls import ErrorKind, classify_error
 
 SPARE = 40  # descriptors for the listeners, the console's callers, the bulletin, the loop, the log and a file
 
@@ -85,7 +85,7 @@
             table = json.load(file)
         return _read(table, env)
     except OSError as problem:
-        kind = NotReadNow if meaning_of(problem) is Meaning.LOCAL else BadConfig
+        kind = NotReadNow if classify_error(problem) is ErrorKind.LOCAL else BadConfig
         raise kind(f"cannot read {path}: {problem.strerror}") from problem
     except (KeyError, TypeError, AttributeError, ValueError) as problem:
         raise BadConfig(f"{path}: {type(problem).__name__}: {problem}") from problem
--- a/onyxpulley/bulletin.py
+++ b/onyxpulley/discovery.py
@@ -13,41 +13,52 @@
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import monotonic
 from onyxpulley.core import Exchange
+from onyxpulley.discovery_events import (
+    CONNECT_TIMEOUT_S,
+    SILENCE_TIMEOUT_S,
+    ConnectionSchedule,
+    DiscoveryStreamError,
+    Event,
+    EventReader,
+    MembershipUpdate,
+    Purge,
+    parse_event,
+    timestamps_of,
+)
 from onyxpulley.facade import Facade, Member
-from onyxpulley.news import QUIET, UP, BadNews, Event, Ledger, Recall, Roster, Watch, event, stamps_of
 from onyxpulley.servers import Servers
 from onyxpulley.streams import close_quietly
 
 LOOK = 0.02  # seconds for which what was read counts as all there is: a small part of the grace of a drain
 
 
-class Call:
+class DiscoveryConnection:
     """One connection to the bulletin."""
 
-    def __init__(self, bulletin: Bulletin) -> None:
-        self.bulletin = bulletin
+    def __init__(self, client: DiscoveryClient) -> None:
+        self.client = client
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        self.buffer = Buffer(16_384, bulletin.line)
-        self.up = False
-        self.got = 0  # bytes so far
+        self.buffer = Buffer(16_384, client.line)
+        self.connected = False
+        self.received_bytes = 0  # bytes so far
         self.task: asyncio.Task[None]
 
     async def run(self, key: int, address: tuple[str, int]) -> None:
         """Until it is up; from then on whoever finds it readable reads it."""
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(UP):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.sock_connect(self.sock, address)
-                await loop.sock_sendall(self.sock, b"after %d\n" % self.bulletin.no)
-            self.up = True
-            self.bulletin.watch.up(monotonic(), key)
-            loop.add_reader(self.sock, self.bulletin.read, key)
+                await loop.sock_sendall(self.sock, b"after %d\n" % self.client.last_number)
+            self.connected = True
+            self.client.schedule.up(monotonic(), key)
+            loop.add_reader(self.sock, self.client.read, key)
         except OSError as problem:
             metrics.count_failed_call("connect.discovery", problem)
-            self.bulletin.end(key)
+            self.client.end(key)
         finally:
-            if not self.up:
+            if not self.connected:
                 close_quietly(self.sock)
 
     def lines(self) -> Sequence[bytes] | None:
@@ -58,9 +69,9 @@
                 got = self.sock.recv_into(self.buffer.room())
                 if not got:
                     return found or None
-                self.got += got
+                self.received_bytes += got
                 self.buffer.end += got
-                while (line := self.buffer.line(self.bulletin.line)) is not None:
+                while (line := self.buffer.line(self.client.line)) is not None:
                     found.append(line)
         except BlockingIOError:
             return found
@@ -69,7 +80,7 @@
             return found or None
 
     def close(self) -> None:
-        if self.up:
+        if self.connected:
             asyncio.get_running_loop().remove_reader(self.sock)
             close_quietly(self.sock)
         elif self.task is not asyncio.current_task():
@@ -77,10 +88,10 @@
 
 
 def say(text: str) -> None:
-    logs.say(f"bulletin: {text}")
+    logs.info(f"bulletin: {text}")
 
 
-class Bulletin:
+class DiscoveryClient:
     def __init__(
         self,
         address: tuple[str, int],
@@ -92,68 +103,68 @@
     ) -> None:
         self.address, self.line = address, line
         self.facade, self.exchange, self.servers = facade, exchange, servers
-        self.say: Callable[[str], None] = say
-        self.ledger, self.watch = Ledger(self.say), Watch(random.Random(seed).random)
-        self.calls: dict[int, Call] = {}
+        self.log: Callable[[str], None] = say
+        self.events, self.schedule = EventReader(self.log), ConnectionSchedule(random.Random(seed).random)
+        self.connections: dict[int, DiscoveryConnection] = {}
         self.changed = asyncio.Event()
         self.caught_up = asyncio.Event()  # it spoke, and what came with its first words has been taken in
-        self.looked = self.heard = monotonic()
-        self.listed: Callable[[bool, Sequence[Member]], None] = lambda full, members: None
-        self.purged: Callable[[str | None, int | None, int], None] = lambda item, lot, issued: None
+        self.last_read = self.heard = monotonic()
+        self.on_members: Callable[[bool, Sequence[Member]], None] = lambda full, members: None
+        self.on_purge: Callable[[str | None, int | None, int], None] = lambda item, lot, issued: None
 
     @property
-    def no(self) -> int:
-        return self.ledger.no
+    def last_number(self) -> int:
+        return self.events.last_number
 
     # ---- Events
-    def known(self, no: int, rows: Sequence[dict[str, Any]]) -> None:
-        """The events of the start. Raises one of `BAD`."""
-        found = [event(row) for row in rows]
-        for stamp in (stamp for one in found for stamp in stamps_of(one)):
-            self.facade.platform.saw_at_start(stamp)
+    def load_initial(self, no: int, rows: Sequence[dict[str, Any]]) -> None:
+        """The events of the start. Raises one of `PARSE_ERRORS`."""
+        found = [parse_event(row) for row in rows]
+        for stamp in (stamp for one in found for stamp in timestamps_of(one)):
+            self.facade.platform.observe_initial(stamp)
         for one in found:
             self.apply(one, live=False)
-        self.ledger.no = no
+        self.events.last_number = no
 
     def apply(self, found: Event | None, live: bool = True) -> None:
-        for stamp in stamps_of(found) if live else ():
-            self.facade.platform.saw_event(stamp)
-        if isinstance(found, Roster):
+        for stamp in timestamps_of(found) if live else ():
+            self.facade.platform.observe_event(stamp)
+        if isinstance(found, MembershipUpdate):
             self._roster(found.full, found.members)
-        elif isinstance(found, Recall):
-            self.purged(found.item, found.lot, found.issued)
-            self.exchange.copies.purge(found.item, found.lot, found.issued)
-            self.exchange.run(self.facade.purge(found.item, found.lot, found.issued, live))
+        elif isinstance(found, Purge):
+            self.on_purge(found.item, found.group, found.issued_ms)
+            self.exchange.copies.purge(found.item, found.group, found.issued_ms)
+            self.exchange.run(self.facade.purge(found.item, found.group, found.issued_ms, live))
 
     def _roster(self, full: bool, members: Sequence[Member]) -> None:
         if not members and not full:
             return
-        self.listed(full, members)
+        self.on_members(full, members)
         if full:
             named = {m.uid for m in members}
             for uid in [uid for uid in self.servers.pools if uid not in named]:
-                self.servers.listed(uid, "", "Gone")
+                self.servers.update_server(uid, "", "Gone")
         for m in members:
-            self.servers.listed(m.uid, m.endpoint, m.state)
+            self.servers.update_server(m.uid, m.endpoint, m.state)
         self.exchange.run(self.facade.roster(full, members))
 
     # ---- Calls
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Goes on at another address from the same number, at once: the old one may stay open, silent."""
         if address != self.address:
             self.address = address
-            for key in list(self.calls):
+            for key in list(self.connections):
                 self.end(key)
-            self.watch.moved()
+            self.schedule.moved()
             self.changed.set()
 
-    async def follow(self) -> None:
+    async def run(self) -> None:
         """Runs until cancelled."""
         try:
             while True:
                 self.changed.clear()
                 self.read_all()  # what is here already is no silence
-                step = self.watch.step(monotonic())
+                step = self.schedule.step(monotonic())
                 for key in step.end:
                     self.end(key)
                 if step.begin:
@@ -162,45 +173,45 @@
                     async with asyncio.timeout(step.wake):
                         await self.changed.wait()
         finally:
-            for key in list(self.calls):
+            for key in list(self.connections):
                 self.end(key)
 
     def _begin(self) -> None:
-        key = self.watch.begun(monotonic())
+        key = self.schedule.begun(monotonic())
         try:
-            call = self.calls[key] = Call(self)
+            call = self.connections[key] = DiscoveryConnection(self)
         except OSError as problem:  # no descriptor left: it is tried again
-            self.say(str(problem))
-            self.watch.ended(monotonic(), key)
+            self.log(str(problem))
+            self.schedule.ended(monotonic(), key)
             return
         call.task = asyncio.create_task(call.run(key, self.address))
 
     def end(self, key: int) -> None:
-        call = self.calls.pop(key, None)
+        call = self.connections.pop(key, None)
         if call is not None:
             call.close()
-            self.watch.ended(monotonic(), key)
+            self.schedule.ended(monotonic(), key)
             self.changed.set()
 
     def read_pending(self) -> None:
         """Before a write: news that lies unread behind other work counts as told. Guards against a drain that
         waits while requests are worked off."""
-        if monotonic() - self.looked >= LOOK:
+        if monotonic() - self.last_read >= LOOK:
             self.read_all()
 
     def read_all(self) -> None:
-        for key, call in list(self.calls.items()):
-            if call.up:
+        for key, call in list(self.connections.items()):
+            if call.connected:
                 self.read(key)
 
     def read(self, key: int) -> None:
-        call = self.calls.get(key)
+        call = self.connections.get(key)
         if call is None:
             return
-        self.looked, before = monotonic(), call.got
+        self.last_read, before = monotonic(), call.received_bytes
         try:
             lines = call.lines()
-            if call.got > before:
+            if call.received_bytes > before:
                 self._spoke(key)
             if lines is None:
                 self.end(key)
@@ -208,23 +219,24 @@
             self._take(lines)
             if lines:
                 self.caught_up.set()
-        except BadNews as problem:
-            self.say(str(problem))
+        except DiscoveryStreamError as problem:
+            self.log(str(problem))
             self.end(key)
         except BufferError as problem:
-            self.say(f"after {self.no}: {problem}")
+            self.log(f"after {self.last_number}: {problem}")
             self.end(key)
 
     def _take(self, lines: Sequence[bytes]) -> None:
         """Changes of the list that follow one another count as one: after an outage, or in a release of
-        hundreds of servers, each would cost a look at all servers. Raises BadNews after what was good."""
+        hundreds of servers, each would cost a look at all servers. Raises DiscoveryStreamError after what was
+        good."""
         changes: list[Member] = []
         try:
             for line in lines:
-                found = self.ledger.read(line)
-                if isinstance(found, Roster) and not found.full:
-                    for stamp in stamps_of(found):
-                        self.facade.platform.saw_event(stamp)
+                found = self.events.read(line)
+                if isinstance(found, MembershipUpdate) and not found.full:
+                    for stamp in timestamps_of(found):
+                        self.facade.platform.observe_event(stamp)
                     changes += found.members
                 elif found is not None:
                     self._roster(False, changes)
@@ -234,9 +246,9 @@
             self._roster(False, changes)
 
     def _spoke(self, key: int) -> None:
-        silent, self.heard = self.looked - self.heard, self.looked
-        self.watch.spoke(self.looked, key)
-        if silent > QUIET:
-            self.say(f"heard again after {silent:.1f} s, from {self.no} on")
-        if len(self.calls) > 1:
+        silent, self.heard = self.last_read - self.heard, self.last_read
+        self.schedule.spoke(self.last_read, key)
+        if silent > SILENCE_TIMEOUT_S:
+            self.log(f"heard again after {silent:.1f} s, from {self.last_number} on")
+        if len(self.connections) > 1:
             self.changed.set()
--- a/onyxpulley/news.py
+++ b/onyxpulley/discovery_events.py
@@ -13,44 +13,46 @@
 from onyxpulley.facade import STATES, Member
 
 UID = re.compile(r"[!-+\--~]{1,128}")
-BAD = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
-QUIET = 2.2  # seconds without a word: two numbers were missed, and another call is made beside that one
-SPREAD = 0.3  # seconds by which that varies: all routers hear the same silence
-DEAD = 3.5  # seconds without a word: the call is over
+PARSE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
+SILENCE_TIMEOUT_S = (
+    2.2  # seconds without a word: two numbers were missed, and another call is made beside that one
+)
+SILENCE_JITTER_S = 0.3  # seconds by which that varies: all routers hear the same silence
+DEAD_TIMEOUT_S = 3.5  # seconds without a word: the call is over
 PAUSE = 0.1, 0.5  # first and longest mean wait between two calls: what was told meanwhile counts already
-NOISE = 8  # bad lines in a row that are passed over: a call that brings nothing else is of no use
-CALLS = 4  # at a time: one may hang while the next ones are begun
-UP = CALLS * PAUSE[1]  # seconds until it is up, and until its first word
+MAX_BAD_LINES = 8  # bad lines in a row that are passed over: a call that brings nothing else is of no use
+MAX_CONNECTIONS = 4  # at a time: one may hang while the next ones are begun
+CONNECT_TIMEOUT_S = MAX_CONNECTIONS * PAUSE[1]  # seconds until it is up, and until its first word
 
 
-class BadNews(Exception):
+class DiscoveryStreamError(Exception):
     """The connection is of no more use: it is asked again for all after the last good event."""
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
+class MembershipUpdate:
     full: bool
     members: Sequence[Member]
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
+class Purge:
     item: str | None
-    lot: int | None
-    issued: int  # Unix ms
+    group: int | None
+    issued_ms: int  # Unix ms
 
 
-Event = Roster | Recall
+Event = MembershipUpdate | Purge
 
 
-def stamps_of(found: Event | None) -> list[int]:
+def timestamps_of(found: Event | None) -> list[int]:
     """The platform's times (Unix ms) in an event: none of them is in its future."""
-    if isinstance(found, Recall):
-        return [found.issued]
+    if isinstance(found, Purge):
+        return [found.issued_ms]
     return [m.boot_ms for m in found.members if m.boot_ms] if found is not None else []
 
 
-def member(row: dict[str, Any]) -> Member:
+def parse_member(row: dict[str, Any]) -> Member:
     if row["state"] not in STATES:
         raise ValueError(f"unknown state {str(row['state'])[:40]!r}")
     endpoint, weight = str(row["endpoint"]), float(row.get("capacity_hint") or 1.0)
@@ -74,32 +76,32 @@
     )
 
 
-def event(row: dict[str, Any]) -> Event | None:
-    """An event in full, or one of `BAD`. None: of a kind that says nothing to this program."""
+def parse_event(row: dict[str, Any]) -> Event | None:
+    """An event in full, or one of `PARSE_ERRORS`. None: of a kind that says nothing to this program."""
     if "roster" in row:
         roster = row["roster"]
-        return Roster(bool(roster.get("all", False)), [member(r) for r in roster["targets"]])
+        return MembershipUpdate(bool(roster.get("all", False)), [parse_member(r) for r in roster["targets"]])
     if "recall" in row:
         recall = row["recall"]
         item, lot, issued = recall.get("item"), recall.get("lot"), int(recall["issued"])
         if item is None and lot is None:
             raise ValueError("a recall of nothing")
-        return Recall(None if item is None else str(item), None if lot is None else int(lot), issued)
+        return Purge(None if item is None else str(item), None if lot is None else int(lot), issued)
     return None
 
 
-class Ledger:
+class EventReader:
     """Where in the numbered events this router is. A line that cannot be used is asked for once more, since
     the way may have spoilt it; the second time it is passed over, so that it holds up nothing behind it."""
 
-    def __init__(self, say: Callable[[str], object] = lambda text: None) -> None:
-        self.no, self.say = 0, say
+    def __init__(self, log: Callable[[str], object] = lambda text: None) -> None:
+        self.last_number, self.log = 0, log
         self.doubted = -1  # the number after which a line was refused
         self.ahead = -1  # the number after which events were missing when the last was named
         self.skipped = self.noise = 0  # bad lines passed over: in all, and since the last event
 
     def read(self, line: bytes) -> Event | None:
-        """The next event; None for what says nothing new. Raises BadNews."""
+        """The next event; None for what says nothing new. Raises DiscoveryStreamError."""
         text = line.strip()
         if not text:
             return None
@@ -107,60 +109,60 @@
             row = json.loads(text)
             bare = isinstance(row, int) or row.keys() == {"no"}
             no = int(row if isinstance(row, int) else row["no"])
-        except BAD as problem:
-            self._pass(self.no, problem)  # which event it was, or none at all, cannot be told
+        except PARSE_ERRORS as problem:
+            self._pass(self.last_number, problem)  # which event it was, or none at all, cannot be told
             return None
         if bare:
             self._last(no)
             return None
-        if no <= self.no:
+        if no <= self.last_number:
             return None
-        if no > self.no + 1 and self.doubted != self.no:
-            self._doubt(f"event {no} is not the next after {self.no}")
+        if no > self.last_number + 1 and self.doubted != self.last_number:
+            self._doubt(f"event {no} is not the next after {self.last_number}")
         try:
-            found = event(row)
-        except BAD as problem:
+            found = parse_event(row)
+        except PARSE_ERRORS as problem:
             self._pass(no, problem)
-            self.no = no
+            self.last_number = no
             return None
-        self.no, self.noise = no, 0
+        self.last_number, self.noise = no, 0
         return found
 
     def _last(self, no: int) -> None:
         """The number alone: which event is the last, and never an event itself. It may be ahead of one that
         is on its way; where the next number finds the same one missing, it is asked for."""
-        if no <= self.no:
+        if no <= self.last_number:
             self.ahead = -1
-        elif self.ahead != self.no:
-            self.ahead = self.no
-        elif self.doubted != self.no:
-            self._doubt(f"events after {self.no} up to {no} are missing")
+        elif self.ahead != self.last_number:
+            self.ahead = self.last_number
+        elif self.doubted != self.last_number:
+            self._doubt(f"events after {self.last_number} up to {no} are missing")
 
     def _doubt(self, why: str) -> None:
-        self.doubted = self.no
-        raise BadNews(why[:300])
+        self.doubted = self.last_number
+        raise DiscoveryStreamError(why[:300])
 
     def _pass(self, no: int, problem: Exception) -> None:
-        if self.doubted != self.no:
-            self._doubt(f"bad line after {self.no}: {problem!r}")
-        what = f"event {no}" if no > self.no else f"a line after {no}"
+        if self.doubted != self.last_number:
+            self._doubt(f"bad line after {self.last_number}: {problem!r}")
+        what = f"event {no}" if no > self.last_number else f"a line after {no}"
         self.noise += 1
-        if self.noise > NOISE:
+        if self.noise > MAX_BAD_LINES:
             self.noise = 0
-            raise BadNews(f"more than {NOISE} bad lines after {self.no}")
-        self.say(f"{what} is passed over, bad again: {problem!r}"[:300])
+            raise DiscoveryStreamError(f"more than {MAX_BAD_LINES} bad lines after {self.last_number}")
+        self.log(f"{what} is passed over, bad again: {problem!r}"[:300])
         self.skipped += 1
 
 
 @dataclass(slots=True)
-class Call:
+class ConnectionState:
     since: float  # when it was begun, when it came up, or when it last spoke
     up: bool = False
     spoke: bool = False
     trusted: float = 0.0  # until then it needn't say more
 
     def over(self) -> float:
-        return self.since + (DEAD if self.spoke else UP)
+        return self.since + (DEAD_TIMEOUT_S if self.spoke else CONNECT_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,20 +173,20 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class ConnectionSchedule:
     """When to call, and which calls to end. One that hangs or falls silent is given its time, but another is
     made beside it meanwhile: what was told while nobody listened may count already. Waits are spread by
     `luck` in [0, 1), since all routers lose the bulletin in the same moment."""
 
     luck: Callable[[], float]
-    calls: dict[int, Call] = field(default_factory=dict)
+    calls: dict[int, ConnectionState] = field(default_factory=dict)
     pause: float = PAUSE[0]
     due: float = 0.0  # no call before then
     serial: int = 0
 
     def begun(self, now: float) -> int:
         self.serial += 1
-        self.calls[self.serial] = Call(now)
+        self.calls[self.serial] = ConnectionState(now)
         self.due = now + self.pause * (0.5 + self.luck())
         self.pause = min(PAUSE[1], 2 * self.pause)
         return self.serial
@@ -192,7 +194,11 @@
     def up(self, now: float, key: int) -> None:
         if key in self.calls:
             call = self.calls[key]
-            call.since, call.up, call.trusted = now, True, now + QUIET + SPREAD * self.luck()
+            call.since, call.up, call.trusted = (
+                now,
+                True,
+                now + SILENCE_TIMEOUT_S + SILENCE_JITTER_S * self.luck(),
+            )
 
     def spoke(self, now: float, key: int) -> None:
         if key in self.calls:
@@ -218,7 +224,9 @@
             return Step(False, others, max(0.01, self.calls[best].trusted - now))
         over = [k for k, c in self.calls.items() if now >= c.over()]
         begin = now >= self.due
-        if begin and len(self.calls) - len(over) >= CALLS:  # the one that hangs for longest makes way
+        if (
+            begin and len(self.calls) - len(over) >= MAX_CONNECTIONS
+        ):  # the one that hangs for longest makes way
             over.append(min((k for k in self.calls if k not in over), key=lambda k: self.calls[k].since))
         wakes = [self.due, *(c.over() for k, c in self.calls.items() if k not in over)]
         return Step(begin, over, max(0.01, min((w for w in wakes if w > now), default=now) - now))
--- a/onyxpulley/facade.py
+++ b/onyxpulley/facade.py
@@ -69,7 +69,7 @@
         self.router = Router(self.settings, seed)
         self.live: dict[str, Request] = {}
         self.timers: list[tuple[int, int]] = []
-        self.say: Callable[[str], None] = logs.say
+        self.say: Callable[[str], None] = logs.info
 
     def configure(self, params: Json, own_transfers: float, memo: int) -> None:
         """Other settings from now on. Raises BadConfig on those that would change what servers are to it."""
@@ -122,7 +122,7 @@
                 request.part,
                 repeat=request.again,
                 tenant=request.tenant,
-                own=self.platform.most_age_us(request.own.stamp) if request.own is not None else None,
+                own=self.platform.max_age_us(request.own.stamp) if request.own is not None else None,
                 confirm=request.own is not None and bool(request.have) and request.have == request.own.tag,
             )
         )
@@ -185,7 +185,7 @@
                 STATES[m.state],
                 m.weight,
                 m.boot_ms,
-                max(1, self.clock() - self.platform.least_age_us(m.boot_ms)),
+                max(1, self.clock() - self.platform.min_age_us(m.boot_ms)),
             )
             for m in members
         )
@@ -195,7 +195,7 @@
         self, item: str | None, group: int | None, issued_ms: int, live: bool = True
     ) -> Sequence[Order]:
         """A purge that is told now counts from now; one that is known at the start is as old as is sure."""
-        age = 0 if live else self.platform.least_age_us(issued_ms)
+        age = 0 if live else self.platform.min_age_us(issued_ms)
         return self._tell(api.Purged(group, age, item))
 
     # ---- Translation
--- a/onyxpulley/http.py
+++ b/onyxpulley/http.py
@@ -114,8 +114,8 @@
         call = self.call
         call.method = self.parser.get_method().decode("ascii")
         call.body = b"".join(self.parts)
-        call.arrived = self.stream.late_since or now_us()
-        call.out_of_touch = self.stream.out_of_touch
+        call.arrived = self.stream.delayed_since or now_us()
+        call.out_of_touch = self.stream.peer_may_have_left
         call.keep = self.parser.should_keep_alive() and call.problem is None
         self.calls.append(call)
         self.spoke, self.began = True, 0
@@ -196,7 +196,7 @@
         try:
             return await self.handler(call)
         except Exception as problem:  # one bad call must not end the program; its text may hold a token
-            logs.say(f"http: {type(problem).__name__} in a call")
+            logs.info(f"http: {type(problem).__name__} in a call")
             return Response(HTTPStatus.INTERNAL_SERVER_ERROR)
 
     def close(self) -> None:
--- a/onyxpulley/incident/hooks.py
+++ b/onyxpulley/incident/hooks.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Sequence
 
-from onyxpulley.bulletin import Bulletin
 from onyxpulley.core import Exchange
+from onyxpulley.discovery import DiscoveryClient
 from onyxpulley.facade import Facade, Member
 from onyxpulley.incident.records import Kind
 from onyxpulley.incident.tally import Tally
 
 
-def attach(tally: Tally, exchange: Exchange, bulletin: Bulletin, facade: Facade) -> None:
+def attach(tally: Tally, exchange: Exchange, bulletin: DiscoveryClient, facade: Facade) -> None:
     fields = facade.report_fields
     tally.load_at = fields.index("busy_reqs") if "busy_reqs" in fields else -1
     exchange.seen = tally
-    say, decided = bulletin.say, facade.say
+    say, decided = bulletin.log, facade.say
 
     def listed(full: bool, members: Sequence[Member]) -> None:
         for m in members:
@@ -35,6 +35,6 @@
             tally.event(Kind.AVOID, words[1], words[2], detail=text)
         decided(text)
 
-    bulletin.listed, bulletin.purged, bulletin.say = listed, purged, news
-    bulletin.ledger.say = news
+    bulletin.on_members, bulletin.on_purge, bulletin.log = listed, purged, news
+    bulletin.events.log = news
     facade.say = log
--- a/onyxpulley/incident/recorder.py
+++ b/onyxpulley/incident/recorder.py
@@ -20,7 +20,7 @@
 from onyxpulley.incident.keep import Keep
 from onyxpulley.incident.records import Origin, Record
 from onyxpulley.incident.tally import Tally
-from onyxpulley.system_calls import Meaning, meaning_of
+from onyxpulley.system_calls import ErrorKind, classify_error
 
 AGAIN = 0.1  # seconds until what could not be written is tried again
 BEHIND = 4  # seconds that may wait for the disk; what comes then is counted as dropped
@@ -41,7 +41,7 @@
         try:
             self._open()
         except OSError as problem:
-            if meaning_of(problem) is not Meaning.LOCAL:
+            if classify_error(problem) is not ErrorKind.LOCAL:
                 raise
             self._not_written(problem)
         self.thread = threading.Thread(target=self._write, name="recorder", daemon=True)
--- a/onyxpulley/listeners.py
+++ b/onyxpulley/listeners.py
@@ -13,7 +13,7 @@
 from onyxpulley import logs, metrics
 from onyxpulley.clock import now_us
 from onyxpulley.streams import close_quietly
-from onyxpulley.system_calls import Meaning, meaning_of, next_pause
+from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
 
 SILENT = 4  # times that silence counts on a connection that never said anything: half fails slow requests
 FIRST = 1_000_000  # us that a connection without a request is left when the router leaves
@@ -94,8 +94,8 @@
         logs.event("listener", "accept_failed", why=problem)
         self.failing_since = self.failing_since or now_us()
         self.failures += 1
-        at_once = meaning_of(problem) is not Meaning.LOCAL and self.failures <= AT_ONCE
-        self.pause = 0.0 if at_once else next_pause(self.pause)
+        at_once = classify_error(problem) is not ErrorKind.LOCAL and self.failures <= AT_ONCE
+        self.pause = 0.0 if at_once else next_retry_delay(self.pause)
 
     def _empty_queue(self) -> bool:
         """Takes all connections that wait. False where an accept failed with others behind it."""
--- a/onyxpulley/logs.py
+++ b/onyxpulley/logs.py
@@ -1,6 +1,6 @@
 """The log on standard error. Writing a line never raises, so it never ends the work that wants to speak.
 
-Plain lines are for people (`say`); events carry fields (`event`): `time=… part=… event=… name=value`. Of one
+Plain lines are for people (`info`); events carry fields (`event`): `time=… part=… event=… name=value`. Of one
 kind of event only so many are written in a second; the rest is counted and told in its next line.
 """
 
@@ -21,7 +21,7 @@
 LOGGER = "onyxpulley"
 
 
-class Say(Protocol):
+class EventLogger(Protocol):
     def __call__(self, event: str, **fields: object) -> None: ...
 
 
@@ -91,7 +91,7 @@
 _limit = RateLimit(LINES_A_SECOND)
 
 
-def say(text: str) -> None:
+def info(text: str) -> None:
     """One plain line."""
     _logger.info("%s", text)
 
@@ -108,6 +108,6 @@
     _logger.info("%s", " ".join(f"{key}={_shown(value)}" for key, value in row.items()))
 
 
-def lines_of(part: str) -> Say:
+def event_logger(part: str) -> EventLogger:
     """The events of one part of the program."""
     return partial(event, part)
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -16,18 +16,18 @@
 import uvloop
 
 from onyxpulley import config, logs, metrics
-from onyxpulley.bulletin import Bulletin
 from onyxpulley.clients import Clients
 from onyxpulley.clock import monotonic, now_us
 from onyxpulley.console import Console, Figure
 from onyxpulley.copies import Copies
 from onyxpulley.core import Exchange, Verdict
+from onyxpulley.discovery import DiscoveryClient
+from onyxpulley.discovery_events import CONNECT_TIMEOUT_S, PARSE_ERRORS
 from onyxpulley.facade import Facade
 from onyxpulley.listeners import FIRST, Listener, make_room
-from onyxpulley.news import BAD, UP
 from onyxpulley.servers import Servers
 from onyxpulley.streams import SocketStream
-from onyxpulley.system_calls import Meaning, meaning_of
+from onyxpulley.system_calls import ErrorKind, classify_error
 
 if TYPE_CHECKING:
     import socket
@@ -67,8 +67,11 @@
         self.facade = Facade(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
         self.servers = Servers(conf.limits)
         self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copies))
-        self.servers.exchange, self.servers.saw_copy = self.exchange, self.facade.platform.saw_copy
-        self.bulletin = Bulletin(
+        self.servers.exchange, self.servers.on_copy_timestamp = (
+            self.exchange,
+            self.facade.platform.observe_copy,
+        )
+        self.bulletin = DiscoveryClient(
             conf.bulletin, conf.seed, conf.limits.line, self.facade, self.exchange, self.servers
         )
         self.exchange.read_pending = self.bulletin.read_pending
@@ -90,7 +93,7 @@
         cold = self.facade.settings.cold_time / 1e6 if phase is Phase.STARTING else 0.0
         self.note("phase", phase.value, cold)
         self.clients.fit = self.fit()
-        logs.say(f"{self.conf.name}: {phase.value}")
+        logs.info(f"{self.conf.name}: {phase.value}")
 
     def fit(self) -> bool:
         """Takes new work: serving, and able to show the servers who it is."""
@@ -115,8 +118,8 @@
         self._recorded()
         self.enter(Phase.STARTING)
         try:
-            self.bulletin.known(self.conf.known_no, self.conf.known)
-        except BAD as problem:
+            self.bulletin.load_initial(self.conf.known_no, self.conf.known)
+        except PARSE_ERRORS as problem:
             raise config.BadConfig(f"known: bad event: {problem!r}") from problem
         fronts: list[tuple[Listener, tuple[str, int] | None]]
         fronts = [(self.console, self.conf.console), (self.clients, self.conf.listen)]
@@ -128,13 +131,15 @@
             *self.tasks,
             *([asyncio.create_task(self.console.accept())] if self.conf.console else []),
             *(asyncio.create_task(front.accept()) for front in self.fronts),
-            asyncio.create_task(self.bulletin.follow()),
+            asyncio.create_task(self.bulletin.run()),
             asyncio.create_task(self.clients.accept()),
             asyncio.create_task(self._sweep()),
         ]
         stop = asyncio.create_task(self.term.wait())
         caught_up = asyncio.create_task(self.bulletin.caught_up.wait())
-        await asyncio.wait([stop, caught_up, *tasks], timeout=UP, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(
+            [stop, caught_up, *tasks], timeout=CONNECT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+        )
         caught_up.cancel()
         if not stop.done():
             self.since = monotonic()
@@ -165,7 +170,7 @@
                 return front.listen(address)
             except OSError as problem:
                 metrics.count_failed_call("listen", problem)
-                if meaning_of(problem) is not Meaning.LOCAL or monotonic() > end:
+                if classify_error(problem) is not ErrorKind.LOCAL or monotonic() > end:
                     raise config.BadConfig(f"cannot listen on {address}: {problem}") from problem
             await asyncio.sleep(SWEEP)
 
@@ -185,18 +190,18 @@
                 return
             self.reloads["rejected"] += 1
             self.note("reload", "rejected")
-            logs.say(f"{old.name}: reload: kept the old settings: {problem}")
+            logs.info(f"{old.name}: reload: kept the old settings: {problem}")
             return
         new.limits.signature_boxes = old.limits.signature_boxes  # of the operator's file
         old.limits.take(new.limits)
         new.limits, self.conf = old.limits, new
         self.exchange.copies.shrink(new.limits.copies)
         self.clients.classes = self.facade.classes
-        self.bulletin.move(new.bulletin)
+        self.bulletin.change_address(new.bulletin)
         self.reloads["applied"] += 1
         self.note("reload", "applied")
         host, port = new.bulletin
-        logs.say(f"{new.name}: reloaded, bulletin {host}:{port} after {self.bulletin.no}")
+        logs.info(f"{new.name}: reloaded, bulletin {host}:{port} after {self.bulletin.last_number}")
 
     # ---- The staff's calls
     def pause(self) -> str:
@@ -314,7 +319,7 @@
         setup = operator.identities
         self.keeper = keeper = Keeper(setup)
         if setup.servers:
-            self.servers.trust = keeper
+            self.servers.transport_security = keeper
         if setup.agent:
             from onyxpulley.spiffe.pace import Pace
             from onyxpulley.spiffe.workload import Agent
@@ -327,7 +332,7 @@
         return {
             "name": self.conf.name,
             "phase": self.phase.value,
-            "bulletin": self.bulletin.no,
+            "bulletin": self.bulletin.last_number,
             "servers": len(self.servers.pools),
             "open": len(self.exchange.open),
             "copies": len(self.exchange.copies.all),
@@ -461,5 +466,5 @@
             operator = load(Path(os.environ["ONYXPULLEY_OPERATOR"]))
         uvloop.run(serve(conf, operator))
     except config.BadConfig as problem:
-        logs.say(f"onyxpulley: {problem}")
+        logs.info(f"onyxpulley: {problem}")
         return 2
--- a/onyxpulley/wires.py
+++ b/onyxpulley/server_streams.py
@@ -8,39 +8,39 @@
 from onyxpulley.streams import SocketStream, Stream
 
 
-class Wire(Stream, Protocol):
+class ServerStream(Stream, Protocol):
     """A connection to a server."""
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """May new work go on it? Asked again at each write."""
         ...
 
-    def over(self) -> bool:
+    def expired(self) -> bool:
         """Has what still runs on it had its time?"""
         ...
 
 
-class Trust(Protocol):
+class TransportSecurity(Protocol):
     """Whether servers are who the list says they are."""
 
-    async def secure(self, uid: str, sock: socket.socket) -> Wire:
+    async def secure(self, uid: str, sock: socket.socket) -> ServerStream:
         """Before the first byte of a request. Raises OSError or TimeoutError where the peer is not shown to
         be that server: nothing was sent, so it counts as one that cannot be reached."""
         ...
 
 
-class PlainWire(SocketStream):
+class PlainServerStream(SocketStream):
     """A connection to a server that is believed to be the one of the list."""
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         return True
 
-    def over(self) -> bool:
+    def expired(self) -> bool:
         return False
 
 
-class Listed:
+class PlainTransport:
     """Trusts the list, as the platform does."""
 
-    async def secure(self, uid: str, sock: socket.socket) -> Wire:
-        return PlainWire(sock, "server")
+    async def secure(self, uid: str, sock: socket.socket) -> ServerStream:
+        return PlainServerStream(sock, "server")
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -12,9 +12,9 @@
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import now_us
 from onyxpulley.core import Attempt, Exchange, Outcome, Report
+from onyxpulley.server_streams import PlainTransport, ServerStream, TransportSecurity
 from onyxpulley.streams import close_quietly
-from onyxpulley.system_calls import Meaning, meaning_of, next_pause
-from onyxpulley.wires import Listed, Trust, Wire
+from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
 
 if TYPE_CHECKING:
     from onyxpulley.config import Limits
@@ -48,10 +48,10 @@
         self.pool = pool
         self.sock: socket.socket | None = None
         self.lacking = False  # no connection could be made yet for want of something on this machine
-        self.wire: Wire | None = None
+        self.wire: ServerStream | None = None
         self.buffer = Buffer(16_384, LONGEST + 2 * LINE)
         self.out: dict[str, Attempt] = {}
-        self.waiting: deque[Attempt | bytes] = deque()
+        self.send_queue: deque[Attempt | bytes] = deque()
         self.up, self.closed, self.stuck = False, False, False
         self.heard = self.used = now_us()
         self.left: deque[str] = deque(maxlen=LATER)
@@ -64,30 +64,30 @@
         if (
             self.closed
             or self.stuck
-            or not self.takes()
+            or not self.accepts_requests()
             or (self.out and now - max(self.heard, self.used_first()) > silence)
         ):
             return False
-        return bool(self.out or self.waiting) or now - self.used < idle
+        return bool(self.out or self.send_queue) or now - self.used < idle
 
     def used_first(self) -> int:
         return next(iter(self.out.values())).begun
 
-    def takes(self) -> bool:
-        return self.wire is None or self.wire.takes()
+    def accepts_requests(self) -> bool:
+        return self.wire is None or self.wire.accepts_requests()
 
     def load(self) -> int:
-        return len(self.out) + len(self.waiting)
+        return len(self.out) + len(self.send_queue)
 
     def holds(self, attempt: Attempt) -> bool:
         txn = attempt.request.txn
-        waiting = any(isinstance(w, Attempt) and w.request.txn == txn for w in self.waiting)
+        waiting = any(isinstance(w, Attempt) and w.request.txn == txn for w in self.send_queue)
         return txn in self.out or txn in self.left or waiting
 
     def alone(self) -> bool:
         """Carries what must not run twice, which no other's spoilt answer shall end."""
         return any(a.once for a in self.out.values()) or any(
-            isinstance(w, Attempt) and w.once for w in self.waiting
+            isinstance(w, Attempt) and w.once for w in self.send_queue
         )
 
     def give_up(self, attempt: Attempt) -> None:
@@ -101,7 +101,7 @@
 
     def check(self) -> None:
         """Guards against an answer that stops short: nothing else will come through behind it."""
-        if self.wire is not None and self.wire.out_of_touch():
+        if self.wire is not None and self.wire.peer_may_have_left():
             return  # reads fail here; that says nothing of the server
         partial = self.buffer.end - self.buffer.start
         self.still = self.still + 1 if partial and partial == self.partial else 0
@@ -110,7 +110,7 @@
             self.close(Outcome.BROKEN)
 
     def push(self, what: Attempt | bytes) -> None:
-        self.waiting.append(what)
+        self.send_queue.append(what)
         self.used = now_us()
         self.wake.set()
 
@@ -129,12 +129,12 @@
                 return sock
             except OSError as problem:
                 metrics.count_failed_call("connect.server", problem)
-                meaning = meaning_of(problem)
-                self.lacking = meaning is Meaning.LOCAL
-                if meaning is Meaning.ENDED or (self.lacking and self.pool.lacks_a_socket(self)):
+                meaning = classify_error(problem)
+                self.lacking = meaning is ErrorKind.LOCAL
+                if meaning is ErrorKind.FATAL or (self.lacking and self.pool.lacks_a_socket(self)):
                     raise
             self._close_socket()
-            pause = next_pause(pause)
+            pause = next_retry_delay(pause)
             await asyncio.sleep(pause)
 
     def _close_socket(self) -> None:
@@ -148,7 +148,7 @@
             try:
                 async with asyncio.timeout(self.pool.limits.connect_timeout):
                     sock = await self._connect()
-                self.wire = wire = await self.pool.servers.trust.secure(self.pool.uid, sock)
+                self.wire = wire = await self.pool.servers.transport_security.secure(self.pool.uid, sock)
             except (OSError, TimeoutError):
                 why = Outcome.NOT_CONNECTED if self.lacking else Outcome.UNREACHABLE
                 return
@@ -163,35 +163,35 @@
                 self._parse()
         except (OSError, BufferError, ValueError) as problem:
             if not isinstance(problem, OSError):
-                logs.say(f"server {self.pool.uid}: bad answer: {problem}")
+                logs.info(f"server {self.pool.uid}: bad answer: {problem}")
         finally:
             self.close(why)
 
-    async def _write(self, wire: Wire) -> None:
+    async def _write(self, wire: ServerStream) -> None:
         try:
             while not self.closed:
                 await self.wake.wait()
                 self.wake.clear()
-                while self.waiting:
-                    await self._batch(wire)
+                while self.send_queue:
+                    await self._write_next(wire)
         except OSError:
             self.close(Outcome.BROKEN)
 
-    async def _batch(self, wire: Wire) -> None:
+    async def _write_next(self, wire: ServerStream) -> None:
         """One attempt at the most, with what is to be given up before it. What waits behind a slow write is
         checked when its own first byte can go. Apart from its task, which would hold on to requests and bytes
         while it waits."""
         given_up = list[bytes]()
-        while self.waiting and isinstance(what := self.waiting[0], bytes):
+        while self.send_queue and isinstance(what := self.send_queue[0], bytes):
             given_up.append(what)
-            self.waiting.popleft()
+            self.send_queue.popleft()
         if given_up:
             await wire.send_all(b"".join(given_up))
-        elif self.waiting:
+        elif self.send_queue:
             await self._send_attempt(wire)
 
-    async def _send_attempt(self, wire: Wire) -> None:
-        attempt = self.waiting.popleft()
+    async def _send_attempt(self, wire: ServerStream) -> None:
+        attempt = self.send_queue.popleft()
         assert isinstance(attempt, Attempt)
         data = self._encode(attempt)
         if not data:
@@ -199,11 +199,11 @@
         try:
             sent = wire.send_now(data)
         except OSError:
-            self.waiting.appendleft(attempt)  # not a byte has left: another connection may take it
+            self.send_queue.appendleft(attempt)  # not a byte has left: another connection may take it
             raise
         if not sent:
-            self.waiting.appendleft(attempt)
-            await wire.writable()
+            self.send_queue.appendleft(attempt)
+            await wire.wait_writable()
             return
         self.out[attempt.request.txn] = attempt
         self.pool.exchange.begun(attempt)
@@ -212,7 +212,9 @@
 
     def _encode(self, what: Attempt) -> bytes:
         """The rules are checked once more here, at the write. Nothing where it may not be written."""
-        if not self.takes():  # who the server was shown to be no longer holds: another one is made, or none
+        if (
+            not self.accepts_requests()
+        ):  # who the server was shown to be no longer holds: another one is made, or none
             self.pool.again(what, Outcome.BROKEN)
             return b""
         if not self.pool.exchange.clear(what):
@@ -278,7 +280,7 @@
         report.note = NOTES.get(row.get("tell", ""), 0)
         report.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
         report.stamp = fields.number(row.get("stamp", "0"), 0, 2**53)
-        self.pool.servers.saw_copy(report.stamp)
+        self.pool.servers.on_copy_timestamp(report.stamp)
         if "meter" in row:
             report.load = self.pool.read_load(row["meter"])
         attempt = self.out.pop(words[0])
@@ -306,9 +308,9 @@
             self.wire.close()
             self.wire = None
         self._close_socket()
-        out, waiting = list(self.out.values()), list(self.waiting)
+        out, waiting = list(self.out.values()), list(self.send_queue)
         self.out.clear()
-        self.waiting.clear()
+        self.send_queue.clear()
         for attempt in out:
             self.pool.exchange.finish(attempt, Report(why))
         for what in waiting:
@@ -408,8 +410,8 @@
         self.limits = limits
         self.exchange: Exchange
         self.ending = False
-        self.trust: Trust = Listed()
-        self.saw_copy: Callable[[int], None] = lambda stamp: None  # told the stamps of copies
+        self.transport_security: TransportSecurity = PlainTransport()
+        self.on_copy_timestamp: Callable[[int], None] = lambda stamp: None  # told the stamps of copies
         self.pools: dict[str, ConnectionPool] = {}
         self.retired: list[ConnectionPool] = []
         self.connections: dict[
@@ -418,7 +420,7 @@
         self.forwards = 0  # attempts written whole
         self.usual = 0.0  # us that an answer took, lately
 
-    def listed(self, uid: str, endpoint: str, state: str) -> None:
+    def update_server(self, uid: str, endpoint: str, state: str) -> None:
         """A change of the list. An address may pass to another server, so connections go by id."""
         pool = self.pools.get(uid)
         if pool is not None and (state == "Gone" or pool.endpoint != endpoint):
@@ -462,8 +464,8 @@
                 if connection.out.get(txn) is attempt:
                     connection.give_up(attempt)
                     return
-                if attempt in connection.waiting:
-                    connection.waiting.remove(attempt)
+                if attempt in connection.send_queue:
+                    connection.send_queue.remove(attempt)
                     return
 
     def sweep(self) -> None:
@@ -471,10 +473,10 @@
         now = now_us()
         for connection in list(self.connections):
             connection.check()
-            if connection.wire is not None and connection.wire.over():
+            if connection.wire is not None and connection.wire.expired():
                 connection.close(Outcome.BROKEN)
             if not connection.closed and not connection.load() and connection.up:
-                gone = connection.pool.retired or not connection.takes()
+                gone = connection.pool.retired or not connection.accepts_requests()
                 if gone or now - connection.used > self.limits.idle * 0.9e6:
                     connection.close(Outcome.BROKEN)
         self.retired = [pool for pool in self.retired if pool.connections]
--- a/onyxpulley/spiffe/tls.py
+++ b/onyxpulley/spiffe/tls.py
@@ -60,11 +60,11 @@
         self.sending = asyncio.Lock()
 
     @property
-    def late_since(self) -> int:
-        return self.plain.late_since
+    def delayed_since(self) -> int:
+        return self.plain.delayed_since
 
-    def out_of_touch(self) -> bool:
-        return self.plain.out_of_touch()
+    def peer_may_have_left(self) -> bool:
+        return self.plain.peer_may_have_left()
 
     async def handshake(self) -> None:
         """Raises OSError; a TimeoutError is the caller's."""
@@ -135,9 +135,9 @@
         except SSL.Error as problem:
             raise TlsError(reason(problem)) from None
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         async with self.sending:
-            await self.plain.writable()
+            await self.plain.wait_writable()
 
     async def send_all(self, data: Data) -> None:
         await self._flush()
--- a/onyxpulley/spiffe/trust.py
+++ b/onyxpulley/spiffe/trust.py
@@ -11,7 +11,8 @@
 from OpenSSL import SSL
 
 from onyxpulley.clock import monotonic, unix_seconds
-from onyxpulley.logs import lines_of
+from onyxpulley.logs import event_logger
+from onyxpulley.server_streams import ServerStream
 from onyxpulley.spiffe.ids import BadIdentity
 from onyxpulley.spiffe.peers import Bond, Expectations, Peers, Standing
 from onyxpulley.spiffe.setup import Setup
@@ -20,7 +21,6 @@
 from onyxpulley.spiffe.svids import Cause, Chain, Refused
 from onyxpulley.spiffe.tls import Tls, context_of
 from onyxpulley.streams import Data, SocketStream
-from onyxpulley.wires import Wire
 
 if TYPE_CHECKING:
     from onyxpulley.console import Figure
@@ -44,11 +44,11 @@
         self.kept = False
 
     @property
-    def late_since(self) -> int:
-        return self.tls.late_since
+    def delayed_since(self) -> int:
+        return self.tls.delayed_since
 
-    def out_of_touch(self) -> bool:
-        return self.tls.out_of_touch()
+    def peer_may_have_left(self) -> bool:
+        return self.tls.peer_may_have_left()
 
     async def receive_into(self, room: memoryview) -> int:
         got = await self.tls.receive_into(room)
@@ -60,8 +60,8 @@
     def send_now(self, data: Data) -> int:
         return self.tls.send_now(data)
 
-    async def writable(self) -> None:
-        await self.tls.writable()
+    async def wait_writable(self) -> None:
+        await self.tls.wait_writable()
 
     async def send_all(self, data: Data) -> None:
         await self.tls.send_all(data)
@@ -69,10 +69,10 @@
     def close(self) -> None:
         self.tls.close()
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         return self.keeper.standing(self.bond) is Standing.GOOD
 
-    def over(self) -> bool:
+    def expired(self) -> bool:
         ending = self.keeper.standing(self.bond) is Standing.ENDING
         return ending and self.keeper.clock() >= self.bond.ends
 
@@ -82,7 +82,7 @@
 
     def __init__(self, setup: Setup, clock: Callable[[], float] = unix_seconds) -> None:
         """Raises BadIdentity where files cannot be used at the start."""
-        self.setup, self.clock, self.say = setup, clock, lines_of("identity")
+        self.setup, self.clock, self.say = setup, clock, event_logger("identity")
         self.identities = Identities(setup.domain, setup.hint, setup.skew)
         self.peers = Peers(self.identities, read_entries(setup.expect, setup.entries), setup.rules)
         self.contexts: dict[bool, SSL.Context] = {}
@@ -152,7 +152,7 @@
         return self.contexts[server]
 
     # ---- Servers
-    async def secure(self, uid: str, sock: socket.socket) -> Wire:
+    async def secure(self, uid: str, sock: socket.socket) -> ServerStream:
         try:
             self.peers.before(uid, self.clock())
             context = self._context(server=False)
--- a/onyxpulley/spiffe/workload.py
+++ b/onyxpulley/spiffe/workload.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives import serialization
 from google.protobuf import descriptor_pb2, descriptor_pool, message, message_factory
 
-from onyxpulley.logs import Say
+from onyxpulley.logs import EventLogger
 from onyxpulley.spiffe.ids import BadIdentity, read_domain, read_id
 from onyxpulley.spiffe.pace import Pace
 from onyxpulley.spiffe.state import Update
@@ -96,7 +96,7 @@
         pace: Pace,
         take: Callable[[Update], bool],  # False: it was of no use
         left: Callable[[], float],  # seconds for which what is held lasts
-        say: Say,
+        say: EventLogger,
     ) -> None:
         self.address, self.pace, self.take, self.left, self.say = address, pace, take, left, say
         self.connected = False
--- a/onyxpulley/streams.py
+++ b/onyxpulley/streams.py
@@ -11,11 +11,13 @@
 
 from onyxpulley import metrics
 from onyxpulley.clock import now_us
-from onyxpulley.system_calls import Meaning, meaning_of, next_pause
+from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
 
 Data = bytes | memoryview
 SENDS_A_TURN = 16
-GIVE_UP = 10_000_000  # us for which a call on one connection may fail: longer than any deadline counted
+MAX_FAILING_US = (
+    10_000_000  # us for which a call on one connection may fail: longer than any deadline counted
+)
 OUT_OF_TOUCH = 50_000  # us: half of the time after a client's end in which an attempt may still begin
 
 
@@ -58,11 +60,11 @@
     """A connection, plain or under TLS. What it raises (OSError) ends it."""
 
     @property
-    def late_since(self) -> int:
+    def delayed_since(self) -> int:
         """Since when what came last may have waited, because reads failed; 0 where it came just now."""
         ...
 
-    def out_of_touch(self) -> bool:
+    def peer_may_have_left(self) -> bool:
         """Have reads failed for so long that the peer may have left unseen?"""
         ...
 
@@ -74,7 +76,7 @@
         """How many bytes were taken without waiting; 0: none now."""
         ...
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """After `send_now` took none: until it is worth another try."""
         ...
 
@@ -91,7 +93,7 @@
     def __init__(self, sock: socket.socket, peer: str, failing_since: int = 0) -> None:
         self.sock, self.peer = sock, peer
         self.failing_since = failing_since  # of reads; the next one that goes through ends it
-        self.late_since = self.sends_failing_since = 0
+        self.delayed_since = self.sends_failing_since = 0
         self.loop = asyncio.get_running_loop()
         self.without_delay = disable_write_delay(sock)
         self.pause = 0.0  # seconds before the next try to send, after an error
@@ -104,12 +106,12 @@
             except OSError as problem:
                 self._raise_if_ended("recv", problem)
                 self.failing_since = self.failing_since or now_us()
-                if now_us() - self.failing_since > GIVE_UP:
+                if now_us() - self.failing_since > MAX_FAILING_US:
                     raise
             else:
-                self.late_since, self.failing_since = self.failing_since, 0
+                self.delayed_since, self.failing_since = self.failing_since, 0
                 return got
-            pause = next_pause(pause)
+            pause = next_retry_delay(pause)
             await asyncio.sleep(pause)
 
     def receive_now(self, room: memoryview) -> int | None:
@@ -120,10 +122,10 @@
             return None
         except OSError as problem:
             self._raise_if_ended("recv", problem)
-            self.failing_since = self.failing_since or self.late_since or now_us()
+            self.failing_since = self.failing_since or self.delayed_since or now_us()
             return None
 
-    def out_of_touch(self) -> bool:
+    def peer_may_have_left(self) -> bool:
         return bool(self.failing_since) and now_us() - self.failing_since > OUT_OF_TOUCH
 
     def send_now(self, data: Data) -> int:
@@ -135,14 +137,14 @@
         except OSError as problem:
             self._raise_if_ended("send", problem)
             self.sends_failing_since = self.sends_failing_since or now_us()
-            if now_us() - self.sends_failing_since > GIVE_UP:
+            if now_us() - self.sends_failing_since > MAX_FAILING_US:
                 raise
-            self.pause = next_pause(self.pause)
+            self.pause = next_retry_delay(self.pause)
             return 0
         self.pause, self.sends_failing_since = 0.0, 0
         return sent
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         if self.pause:
             await asyncio.sleep(self.pause)
         else:
@@ -160,7 +162,7 @@
             sent = self.send_now(rest)
             rest, turn = rest[sent:], turn - 1
             if not sent:
-                await self.writable()
+                await self.wait_writable()
             elif not turn:  # others have their turn where each call takes few bytes
                 await asyncio.sleep(0)
                 turn = SENDS_A_TURN
@@ -170,5 +172,5 @@
 
     def _raise_if_ended(self, call: str, problem: OSError) -> None:
         metrics.count_failed_call(f"{call}.{self.peer}", problem)
-        if meaning_of(problem) is Meaning.ENDED:
+        if classify_error(problem) is ErrorKind.FATAL:
             raise problem
--- a/onyxpulley/system_calls.py
+++ b/onyxpulley/system_calls.py
@@ -8,13 +8,13 @@
 import errno
 from enum import Enum
 
-FIRST_PAUSE, LONGEST_PAUSE = 0.001, 0.02  # seconds before a failed call is made again
+FIRST_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.001, 0.02  # seconds before a failed call is made again
 
 
-class Meaning(Enum):
+class ErrorKind(Enum):
     LOCAL = "local"  # this machine lacks something for a moment: it says nothing of the peer
     PATH = "path"  # the way to the peer is disturbed: a connection that is up may live on
-    ENDED = "ended"  # this connection is over, or the peer refuses it
+    FATAL = "fatal"  # this connection is over, or the peer refuses it
 
 
 _LOCAL = frozenset(
@@ -36,12 +36,12 @@
 _PATH = frozenset({errno.EHOSTUNREACH, errno.EHOSTDOWN, errno.ETIMEDOUT})
 
 
-def meaning_of(problem: OSError) -> Meaning:
+def classify_error(problem: OSError) -> ErrorKind:
     if problem.errno in _LOCAL:
-        return Meaning.LOCAL
-    return Meaning.PATH if problem.errno in _PATH else Meaning.ENDED
+        return ErrorKind.LOCAL
+    return ErrorKind.PATH if problem.errno in _PATH else ErrorKind.FATAL
 
 
-def next_pause(pause: float) -> float:
+def next_retry_delay(pause: float) -> float:
     """Seconds to wait after one more failure; `pause` is the wait before it, 0 at first."""
-    return min(LONGEST_PAUSE, 2 * pause) if pause else FIRST_PAUSE
+    return min(MAX_RETRY_DELAY_S, 2 * pause) if pause else FIRST_RETRY_DELAY_S
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -43,23 +43,23 @@
 def test_ages_are_on_the_safe_side_however_wrong_this_clock_is(off: int) -> None:
     hands = Hands()
     platform = PlatformClock(hands, own_offset=(NOW + off) * 1000)
-    platform.saw_at_start(NOW - 2_000)  # the platform's last stamp is two seconds old
+    platform.observe_initial(NOW - 2_000)  # the platform's last stamp is two seconds old
     true_age_ms = 3_000
-    assert 0 <= platform.least_age_us(NOW - true_age_ms) <= true_age_ms * 1000
+    assert 0 <= platform.min_age_us(NOW - true_age_ms) <= true_age_ms * 1000
     hands.at += 10_000_000
-    assert platform.least_age_us(NOW - true_age_ms) <= (true_age_ms + 10_000) * 1000
-    platform.saw_event(NOW + 9_900)
-    assert platform.least_age_us(NOW) == 9_900_000, "a fresh stamp tells the time"
-    platform.saw_copy(NOW + 9_990)
-    assert platform.most_age_us(NOW) >= 9_990_000, "a copy counts as no younger than it may be"
+    assert platform.min_age_us(NOW - true_age_ms) <= (true_age_ms + 10_000) * 1000
+    platform.observe_event(NOW + 9_900)
+    assert platform.min_age_us(NOW) == 9_900_000, "a fresh stamp tells the time"
+    platform.observe_copy(NOW + 9_990)
+    assert platform.max_age_us(NOW) >= 9_990_000, "a copy counts as no younger than it may be"
 
 
 def test_a_stamp_far_ahead_of_all_others_proves_nothing() -> None:
     platform = PlatformClock(Hands(), own_offset=NOW * 1000)
-    platform.saw_event(NOW)
-    platform.saw_event(NOW + HOUR)
-    platform.saw_copy(NOW + 100 * HOUR)
-    assert platform.least_age_us(NOW) == 0 and platform.most_age_us(NOW) == 0
+    platform.observe_event(NOW)
+    platform.observe_event(NOW + HOUR)
+    platform.observe_copy(NOW + 100 * HOUR)
+    assert platform.min_age_us(NOW) == 0 and platform.max_age_us(NOW) == 0
 
 
 # Guards against a step of an hour on the real process: deadlines, copies and purges, also after a restart.
--- a/tests/test_news.py
+++ b/tests/test_discovery.py
@@ -13,14 +13,24 @@
 
 import pytest
 
-from onyxpulley.bulletin import Bulletin
 from onyxpulley.config import ENTRY, limits_of
 from onyxpulley.copies import Copies
 from onyxpulley.core import Exchange, Request
+from onyxpulley.discovery import DiscoveryClient
+from onyxpulley.discovery_events import (
+    CONNECT_TIMEOUT_S,
+    DEAD_TIMEOUT_S,
+    MAX_CONNECTIONS,
+    ConnectionSchedule,
+    DiscoveryStreamError,
+    EventReader,
+    MembershipUpdate,
+    Purge,
+    parse_event,
+)
 from onyxpulley.facade import Facade
-from onyxpulley.news import CALLS, DEAD, UP, BadNews, Ledger, Recall, Roster, Watch, event
+from onyxpulley.server_streams import PlainServerStream
 from onyxpulley.servers import Servers
-from onyxpulley.wires import PlainWire
 
 from .helpers import World as Decisions
 from .helpers import entries, with_settings
@@ -65,68 +75,74 @@
 @pytest.mark.parametrize("bad", BAD_LINES)
 def test_a_bad_line_is_asked_for_again_and_then_holds_up_nothing(bad: bytes) -> None:
     said: list[str] = []
-    ledger = Ledger(said.append)
-    ledger.no = 5
+    ledger = EventReader(said.append)
+    ledger.last_number = 5
     drain = line(roster(7, {"c1": "Terminating"}))
-    with pytest.raises(BadNews, match="bad line after 5"):
+    with pytest.raises(DiscoveryStreamError, match="bad line after 5"):
         ledger.read(bad)
-    assert ledger.no == 5 and not said, "the next call asks for all after the last good one"
+    assert ledger.last_number == 5 and not said, "the next call asks for all after the last good one"
     assert ledger.read(bad) is None, "bad once more: it was bad before it came"
     assert len(said) == 1 and "passed over" in said[0] and ledger.skipped == 1
     found = ledger.read(drain)
-    assert isinstance(found, Roster) and found.members[0].state == "Terminating" and ledger.no == 7
+    assert (
+        isinstance(found, MembershipUpdate)
+        and found.members[0].state == "Terminating"
+        and ledger.last_number == 7
+    )
 
 
 def test_noise_between_the_events_takes_none_of_their_numbers() -> None:
-    ledger = Ledger()
-    ledger.no = 5
-    with pytest.raises(BadNews):
+    ledger = EventReader()
+    ledger.last_number = 5
+    with pytest.raises(DiscoveryStreamError):
         ledger.read(b"noise")
     for _ in range(3):
-        assert ledger.read(b"noise") is None and ledger.no == 5
+        assert ledger.read(b"noise") is None and ledger.last_number == 5
     found = ledger.read(line(roster(6, {"c1": "Terminating"})))
-    assert isinstance(found, Roster) and ledger.no == 6, "the drain behind the noise"
-    with pytest.raises(BadNews, match="bad line after 6"):
+    assert isinstance(found, MembershipUpdate) and ledger.last_number == 6, "the drain behind the noise"
+    with pytest.raises(DiscoveryStreamError, match="bad line after 6"):
         ledger.read(b"noise")
-    with pytest.raises(BadNews, match="more than 8 bad lines"):
+    with pytest.raises(DiscoveryStreamError, match="more than 8 bad lines"):
         for _ in range(100):
             ledger.read(b"noise")
 
 
 def test_a_line_that_was_spoilt_on_its_way_is_read_when_it_comes_whole() -> None:
-    ledger = Ledger()
+    ledger = EventReader()
     good = line(roster(1, {"c1": "Ready"}))
-    with pytest.raises(BadNews):
+    with pytest.raises(DiscoveryStreamError):
         ledger.read(good[:40])
-    assert isinstance(ledger.read(good), Roster) and ledger.skipped == 0
-    with pytest.raises(BadNews):  # the next one has its own second chance
+    assert isinstance(ledger.read(good), MembershipUpdate) and ledger.skipped == 0
+    with pytest.raises(DiscoveryStreamError):  # the next one has its own second chance
         ledger.read(b"{")
 
 
 def test_repeated_and_missing_events() -> None:
-    ledger = Ledger()
+    ledger = EventReader()
     assert ledger.read(b"0") is None and ledger.read(b"") is None and ledger.read(b'{"no":0}') is None
     assert ledger.read(line(roster(1, {"c1": "Ready"}))) is not None
     assert ledger.read(line(roster(1, {"c1": "Gone"}))) is None, "written twice counts once"
     assert ledger.read(b"3") is None, "they may be on their way"
-    with pytest.raises(BadNews, match="up to 3 are missing"):
+    with pytest.raises(DiscoveryStreamError, match="up to 3 are missing"):
         ledger.read(b"3")
     assert ledger.read(b"3") is None, "it has not got them: what comes later must be heard"
     found = ledger.read(line({"no": 4, "recall": {"lot": 17, "issued": 5}}))
-    assert found == Recall(None, 17, 5) and ledger.no == 4
-    with pytest.raises(BadNews, match="event 9 is not the next"):
+    assert found == Purge(None, 17, 5) and ledger.last_number == 4
+    with pytest.raises(DiscoveryStreamError, match="event 9 is not the next"):
         ledger.read(line(roster(9, {"c1": "Gone"})))
 
 
 @pytest.mark.parametrize("number", [b'{"no":6}', b"6", b' {"no": 6} '])
 def test_the_number_of_the_last_event_is_not_that_event(number: bytes) -> None:
-    ledger = Ledger()
-    ledger.no = 5
-    assert ledger.read(number) is None and ledger.no == 5
+    ledger = EventReader()
+    ledger.last_number = 5
+    assert ledger.read(number) is None and ledger.last_number == 5
     found = ledger.read(line(roster(6, {"c1": "Terminating"})))
-    assert isinstance(found, Roster) and found.members[0].state == "Terminating", "a drain behind its number"
+    assert isinstance(found, MembershipUpdate) and found.members[0].state == "Terminating", (
+        "a drain behind its number"
+    )
     assert ledger.read(number) is None and ledger.read(line({"no": 7, "weather": {}})) is None
-    assert ledger.no == 7, "an event of a kind that says nothing here counts as well"
+    assert ledger.last_number == 7, "an event of a kind that says nothing here counts as well"
 
 
 # ---- Calls, in virtual time
@@ -141,7 +157,7 @@
 
     def play(self) -> tuple[float, int, int]:
         """When it is heard again after the outage, how many calls were made in it, how many at a time."""
-        watch, made, most = Watch(random.Random(self.seed).random), 0, 0
+        watch, made, most = ConnectionSchedule(random.Random(self.seed).random), 0, 0
         calls: dict[int, tuple[int, bool]] = {}  # since when; whether it will never speak again
         for tick in range(self.back + 2000):
             now = tick / 100
@@ -175,12 +191,12 @@
     late = [p[0] for p in plays]
     assert max(late) < soon, "every router, whatever its luck"
     assert all(made <= 4 + 3 * length for _, made, _ in plays), "and a bounded number of calls"
-    assert max(most for _, _, most in plays) <= CALLS
+    assert max(most for _, _, most in plays) <= MAX_CONNECTIONS
     assert len(set(late)) > 10, "not all at once"
 
 
 def test_a_silent_call_is_kept_until_another_speaks() -> None:
-    watch = Watch(lambda: 0.5)
+    watch = ConnectionSchedule(lambda: 0.5)
     first = watch.begun(0.0)
     watch.up(0.01, first)
     assert not watch.step(1.2).begin, "its first word may take a second"
@@ -195,7 +211,7 @@
     third = watch.begun(6.0)
     watch.spoke(6.1, third)
     assert watch.step(6.1).end == [first], "whoever speaks goes on alone"
-    assert watch.step(6.2 + DEAD).begin
+    assert watch.step(6.2 + DEAD_TIMEOUT_S).begin
 
 
 # ---- On sockets
@@ -207,11 +223,11 @@
         self.servers = Servers(LIMITS)
         self.exchange = Exchange(self.facade, self.servers, LIMITS, Copies(0))
         self.servers.exchange = self.exchange
-        self.bulletin = Bulletin(
+        self.bulletin = DiscoveryClient(
             ("127.0.0.1", port), 1, LIMITS.line, self.facade, self.exchange, self.servers
         )
         self.exchange.read_pending = self.bulletin.read_pending
-        self.bulletin.known(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
+        self.bulletin.load_initial(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
 
 
 def request(done: Callable[[Any], None]) -> Request:
@@ -222,20 +238,22 @@
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             rig = Rig(listener.getsockname()[1])
-            follow = asyncio.create_task(rig.bulletin.follow())
+            follow = asyncio.create_task(rig.bulletin.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
             assert await loop.run_in_executor(None, peer.recv, 100) == b"after 1\n"
             peer.sendall(b"1\n")
-            while not any(call.up and call.got for call in rig.bulletin.calls.values()):
+            while not any(
+                call.connected and call.received_bytes for call in rig.bulletin.connections.values()
+            ):
                 await asyncio.sleep(0.01)
             rig.exchange.take(request(lambda answer: None))
             attempt = next(iter(rig.exchange.open.values())).attempts[0]
             assert attempt.server == "c0" and attempt.source == "p0"
             peer.sendall(line(roster(2, {"p0": "Terminating"})) + b"\n")
-            rig.bulletin.looked -= 1.0  # as long as the loop had been busy with other work
+            rig.bulletin.last_read -= 1.0  # as long as the loop had been busy with other work
             assert not rig.exchange.clear(attempt), "told, whether read or not"
-            assert rig.bulletin.no == 2
+            assert rig.bulletin.last_number == 2
             later = next(iter(rig.exchange.open.values())).attempts[-1]
             assert later is not attempt and later.source != "p0"
             follow.cancel()
@@ -252,25 +270,25 @@
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as sock:
             rig = Rig(9)
-            rig.servers.listed("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Gone")
-            rig.servers.listed("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Ready")
+            rig.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Gone")
+            rig.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Ready")
             for no in range(2):
                 ask = request(lambda answer: None)
                 ask.txn = f"{no:016x}"
                 rig.exchange.take(ask)
             first, second = (r.attempts[0] for r in rig.exchange.open.values())
             connection = rig.servers.pools["c0"].connections[0]
-            assert list(connection.waiting) == [first, second]
+            assert list(connection.send_queue) == [first, second]
 
-            class Slow(PlainWire):
+            class Slow(PlainServerStream):
                 def send_now(self, data: bytes | memoryview) -> int:
                     sent.append(bytes(data))
-                    rig.bulletin.apply(event(roster(2, {"c0": "Terminating"})))
+                    rig.bulletin.apply(parse_event(roster(2, {"c0": "Terminating"})))
                     return len(data)
 
-            await connection._batch(Slow(sock, "server"))
+            await connection._write_next(Slow(sock, "server"))
             assert first.written and not second.ended
-            await connection._batch(Slow(sock, "server"))
+            await connection._write_next(Slow(sock, "server"))
             assert not second.written and second.ended
             rig.servers.close()
             await asyncio.sleep(0)
@@ -302,7 +320,7 @@
             ]
             lines += ["c1 < 1 good have=aa ok", "c0 forget"]
         await rig.run([*lines, "b forget"])
-        assert speaks or time.monotonic() - began >= UP, "it waited for what may come"
+        assert speaks or time.monotonic() - began >= CONNECT_TIMEOUT_S, "it waited for what may come"
 
     asyncio.run(play())
 
@@ -340,9 +358,9 @@
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             rig = Rig(listener.getsockname()[1])
-            rig.bulletin.known(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
+            rig.bulletin.load_initial(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
             assert len(rig.servers.pools) == 1025 and rig.facade.listed()[0] == 1025
-            follow = asyncio.create_task(rig.bulletin.follow())
+            follow = asyncio.create_task(rig.bulletin.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
             whole = line(roster(3, {**fleet(1024, "Ready", 1100), "o": "Ready"}, full=True)) + b"\n"
@@ -351,7 +369,7 @@
             assert len(whole) <= LIMITS.line
             await loop.run_in_executor(None, peer.sendall, whole + changes)
             async with asyncio.timeout(20):
-                while rig.bulletin.no < 3 + 1100:
+                while rig.bulletin.last_number < 3 + 1100:
                     await asyncio.sleep(0.01)
             router = rig.facade.router
             states = [s.state.name for uid, s in router.servers.items() if uid != "o"]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -50,7 +50,7 @@
 
 # Guards against a connection that is kept for ever although no call on it goes through.
 def test_a_connection_on_which_nothing_goes_through_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "GIVE_UP", 50_000)
+    monkeypatch.setattr(streams, "MAX_FAILING_US", 50_000)
 
     async def play() -> None:
         stream, _ = stream_over(-1)
