--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -77,7 +77,7 @@
         self.router = Router(self.settings, seed)
         self.open_requests: dict[str, Request] = {}
         self.timers: list[tuple[int, int]] = []
-        self.log: Callable[[str], None] = logs.say
+        self.log: Callable[[str], None] = logs.info
 
     def configure(self, params: Json, link_transfers: float, max_tracked_objects: int) -> None:
         """Other settings from now on. Raises BadConfig on those that would change what servers are to it."""
@@ -135,7 +135,7 @@
                 request.part,
                 is_repeat=request.is_repeat,
                 tenant=request.tenant,
-                own_copy_age=self.platform_clock.most_age_us(request.own_copy.issued_ms)
+                own_copy_age=self.platform_clock.max_age_us(request.own_copy.issued_ms)
                 if request.own_copy is not None
                 else None,
                 client_has_copy=request.own_copy is not None
@@ -204,7 +204,7 @@
                 SERVER_STATES[m.state],
                 m.weight,
                 m.boot_ms,
-                max(1, self.clock() - self.platform_clock.least_age_us(m.boot_ms)),
+                max(1, self.clock() - self.platform_clock.min_age_us(m.boot_ms)),
             )
             for m in members
         )
@@ -214,7 +214,7 @@
         self, object_id: str | None, group: int | None, issued_ms: int, is_live: bool = True
     ) -> Sequence[Command]:
         """A purge that is told now counts from now; one that is known at the start is as old as is sure."""
-        age = 0 if is_live else self.platform_clock.least_age_us(issued_ms)
+        age = 0 if is_live else self.platform_clock.min_age_us(issued_ms)
         return self._tell(api.Purged(group, age, object_id))
 
     # ---- Translation
