--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -13,7 +13,13 @@
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import now_us
 from onyxpulley.core import Answer, Exchange, Request, Verdict
-from onyxpulley.listeners import FIRST, SILENT, Holder, Listener, make_room
+from onyxpulley.listeners import (
+    FIRST_REQUEST_GRACE_US,
+    SILENT_CONNECTION_WEIGHT,
+    EvictableConnection,
+    Listener,
+    evict_one,
+)
 from onyxpulley.streams import SocketStream
 
 if TYPE_CHECKING:
@@ -28,7 +34,7 @@
 HEAD = 4_096  # bytes of any word that is not the body
 WHOLE = 2_600_000  # us in which a message is whole, from its first byte; the first one from connecting: good
 # clients take 2 s and somewhat more, bad ones are to be gone 3 s after connecting
-LINES = 20  # of the log for bad clients, in a second
+MAX_LOG_LINES_PER_SECOND = 20  # of the log for bad clients, in a second
 STALL = 10.0  # seconds that a client may leave an answer unread
 LATELY = 2_100_000  # us from a client's last request in which it cannot be left open at the end of a drain
 WORD = {
@@ -151,16 +157,16 @@
     raise AssertionError("a request without a front")
 
 
-class Client:
+class ClientConnection:
     """One connection of a client."""
 
-    def __init__(self, front: Clients, sock: socket.socket, failing_since: int) -> None:
+    def __init__(self, front: PlatformFront, sock: socket.socket, failing_since: int) -> None:
         self.front = front
         self.stream = SocketStream(sock, "client", failing_since)
         self.buffer = Buffer(4_096, BODY + 8 * HEAD)
         self.open: dict[bytes, Request] = {}
         self.out: deque[bytes] = deque()
-        self.held = 0  # bytes of `out` and of what is being written
+        self.unsent_bytes = 0  # bytes of `out` and of what is being written
         self.skip = 0
         self.closed = False
         self.used = self.began = now_us()  # `began`: since when a message is awaited, 0: none is
@@ -223,7 +229,7 @@
         self.skip = self.began = 0
         if reason is not CloseReason.MALFORMED:
             self.settle()
-        if self.spare():
+        if self.all_answered():
             self.close(reason)
 
     def settle(self) -> None:
@@ -256,7 +262,7 @@
         if not (tag.isdigit() and len(tag) <= 19 and int(tag) > 0):
             raise Malformed(why)
         self.front.say(why)
-        self.push(reply_bytes(tag, b"broken"))
+        self.send(reply_bytes(tag, b"broken"))
 
     def _message(self, words: list[bytes]) -> None:
         verb = words[0] if words else b""
@@ -286,7 +292,7 @@
             if left is not None:
                 self.front.exchange.left(left)
         elif verb == b"STATUS":
-            self.push(reply_bytes(tag, b"fit" if self.front.fit else b"unfit"))
+            self.send(reply_bytes(tag, b"fit" if self.front.fit else b"unfit"))
         else:
             self._fail(words, "unknown verb")
 
@@ -300,16 +306,16 @@
             row.append("same=1")
         if answer.later:
             row.append(f"later={answer.later}")
-        self.push(reply_bytes(tag, WORD[answer.verdict], ",".join(row), answer.body))
+        self.send(reply_bytes(tag, WORD[answer.verdict], ",".join(row), answer.body))
 
-    def push(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if self.closed:
             return
         self.out.append(data)
-        self.held += len(data)
-        self.front.held += len(data)
+        self.unsent_bytes += len(data)
+        self.front.unsent_bytes += len(data)
         self.wake.set()
-        if self.front.held > self.front.limits.memory:
+        if self.front.unsent_bytes > self.front.limits.queued_answer_bytes:
             self.front.shed()
 
     async def _write(self) -> None:
@@ -320,7 +326,7 @@
                 self.wake.clear()
                 while self.out:
                     await self._batch()
-                if self.stopped is not None and self.spare():
+                if self.stopped is not None and self.all_answered():
                     reason = self.stopped
                     return
                 if self.front.leaving and self.asked and self.idle():
@@ -336,9 +342,9 @@
         """Guards against those who connect and say nothing, or half of it, whatever else they have open."""
         return bool(self.began) and now - self.began > WHOLE
 
-    def spare(self) -> bool:
+    def all_answered(self) -> bool:
         """Nothing is owed to it, though half a message may be here."""
-        return not self.open and not self.held
+        return not self.open and not self.unsent_bytes
 
     async def _batch(self) -> None:
         """Apart from its task, which would hold on to the bytes while it waits for the next answer."""
@@ -349,16 +355,18 @@
             batch.append(self.out.popleft())
         async with asyncio.timeout(STALL):
             await self.stream.send_all(batch[0] if len(batch) == 1 else b"".join(batch))
-        self.held -= size
-        self.front.held -= size
+        self.unsent_bytes -= size
+        self.front.unsent_bytes -= size
         self.used = now_us()
 
-    def still(self, now: int) -> int:
+    def eviction_age(self, now: int) -> int:
         """How long nothing came; of a connection on which nothing ever came it counts for more."""
-        return (now - self.used) * (1 if self.spoke or self.buffer.end or self.skip else SILENT)
+        return (now - self.used) * (
+            1 if self.spoke or self.buffer.end or self.skip else SILENT_CONNECTION_WEIGHT
+        )
 
     def idle(self) -> bool:
-        return self.spare() and self.buffer.start == self.buffer.end and not self.skip
+        return self.all_answered() and self.buffer.start == self.buffer.end and not self.skip
 
     def close(self, reason: CloseReason = CloseReason.ROOM) -> None:
         """The client is gone, or is sent away: what it had open is given up."""
@@ -369,9 +377,9 @@
         if self.open and reason is not CloseReason.CLIENT_LEFT:
             ids = ",".join(request.txn for request in self.open.values())
             logs.event("client", "closed_under_requests", reason=reason.value, open=len(self.open), ids=ids)
-        self.front.all.discard(self)
-        self.front.held -= self.held
-        self.held = 0
+        self.front.connections.discard(self)
+        self.front.unsent_bytes -= self.unsent_bytes
+        self.unsent_bytes = 0
         self.out.clear()
         current = asyncio.current_task()
         for task in self.tasks:
@@ -386,45 +394,49 @@
             self.front.exchange.left(request)
 
 
-class Clients(Listener):
+class PlatformFront(Listener):
     """The listener and all connections of the platform's front."""
 
     def __init__(self, exchange: Exchange, classes: frozenset[str], limits: Limits) -> None:
         super().__init__()
         self.exchange, self.classes, self.limits = exchange, classes, limits
-        self.all: set[Client] = set()
-        self.beside: Callable[[], int] = lambda: 0  # connections of the other fronts
-        self.others: Callable[[], Iterable[Holder]] = tuple  # those of them that may have to make way
-        self.held = 0
+        self.connections: set[ClientConnection] = set()
+        self.other_connections: Callable[[], int] = lambda: 0  # connections of the other fronts
+        self.evictable_elsewhere: Callable[[], Iterable[EvictableConnection]] = (
+            tuple  # those of them that may have to make way
+        )
+        self.unsent_bytes = 0
         self.fit = self.leaving = False
         self.said, self.said_at = 0, 0
 
     @property
     def most(self) -> int:
-        return self.limits.clients
+        return self.limits.client_connections
 
     def admit(self) -> bool:
         """Room for one more, in place of another one where there is none: the bound is on all fronts."""
-        if len(self.all) + self.beside() >= self.most:
-            return make_room((*self.all, *self.others()), now_us())
+        if len(self.connections) + self.other_connections() >= self.most:
+            return evict_one((*self.connections, *self.evictable_elsewhere()), now_us())
         return True
 
     def _count(self) -> None:
         if now_us() - self.said_at > 1_000_000:
-            if self.said > LINES:
-                logs.say(f"client: {self.said - LINES} more like these")
+            if self.said > MAX_LOG_LINES_PER_SECOND:
+                logs.say(f"client: {self.said - MAX_LOG_LINES_PER_SECOND} more like these")
             self.said, self.said_at = 0, now_us()
 
     def sweep(self) -> None:
         now = now_us()
         self._count()
-        for client in [c for c in self.all if c.overdue(now)]:
+        for client in [c for c in self.connections if c.overdue(now)]:
             client.stop_reading(CloseReason.OVERDUE, "no whole message in time")
-        for client in [c for c in self.all if c.stopped is not None and now - c.stopped_at > WHOLE]:
+        for client in [c for c in self.connections if c.stopped is not None and now - c.stopped_at > WHOLE]:
             client.settle()
-        parts = sorted((c for c in self.all if c.began), key=lambda c: c.still(now))
+        parts = sorted((c for c in self.connections if c.began), key=lambda c: c.eviction_age(now))
         held = sum(len(c.buffer.data) for c in parts)
-        while held > self.limits.buffers:  # guards the memory against very many large halves of messages
+        while (
+            held > self.limits.partial_message_bytes
+        ):  # guards the memory against very many large halves of messages
             client = parts.pop()
             held -= len(client.buffer.data)
             client.stop_reading(CloseReason.MEMORY, "too much of messages that are not whole")
@@ -433,38 +445,40 @@
         """One line for the log; of very many in a second the rest is counted. Guards the log and the core."""
         self._count()
         self.said += 1
-        if self.said <= LINES:
+        if self.said <= MAX_LOG_LINES_PER_SECOND:
             logs.say(f"client: {why}"[:200])
 
-    def welcome(self, sock: socket.socket) -> None:
-        self.all.add(Client(self, sock, self.failing_since))
+    def add_connection(self, sock: socket.socket) -> None:
+        self.connections.add(ClientConnection(self, sock, self.failing_since))
 
     def shed(self) -> None:
         """Guards the memory against clients that do not read: the one that holds most goes."""
-        worst = max(self.all, key=lambda c: c.held, default=None)
+        worst = max(self.connections, key=lambda c: c.unsent_bytes, default=None)
         if worst is not None:
-            logs.say(f"client: {worst.held} bytes unread, closed")
+            logs.say(f"client: {worst.unsent_bytes} bytes unread, closed")
             worst.close(CloseReason.MEMORY)
 
     def leave(self) -> None:
         """Clients are to go elsewhere: from now on each is closed as soon as nothing is open on it. Who
         never asked may stay for a while: it is the front with its STATUS, or a first request is coming."""
         self.leaving, now = True, now_us()
-        for client in [c for c in self.all if c.idle() and (c.asked or now - c.used > FIRST)]:
+        for client in [
+            c for c in self.connections if c.idle() and (c.asked or now - c.used > FIRST_REQUEST_GRACE_US)
+        ]:
             client.close(CloseReason.IDLE)
 
     def settle(self) -> None:
         """Guards against those that never fall idle: who asked lately gets its final answers, and the end."""
         now = now_us()
-        for client in [c for c in self.all if now - c.asked < LATELY]:
+        for client in [c for c in self.connections if now - c.asked < LATELY]:
             client.settle()
 
     def quiet(self) -> bool:
         """All answers are written, and no request is on its way in. Guards the ones that take their time to
         arrive: closing on them would fail them."""
-        return not self.held and not any(c.open or c.began for c in self.all)
+        return not self.unsent_bytes and not any(c.open or c.began for c in self.connections)
 
     def close(self) -> None:
         self.close_listener()
-        for client in list(self.all):
+        for client in list(self.connections):
             client.close(CloseReason.SHUTDOWN)
--- a/onyxpulley/config.py
+++ b/onyxpulley/config.py
@@ -10,40 +10,45 @@
 from onyxpulley.settings import read_settings
 from onyxpulley.system_calls import Meaning, meaning_of
 
-SPARE = 40  # descriptors for the listeners, the console's callers, the bulletin, the loop, the log and a file
+RESERVED_DESCRIPTORS = (
+    40  # descriptors for the listeners, the console's callers, the bulletin, the loop, the log and a file
+)
 
-BASE = 26e6  # bytes of the program before its first request
-LISTS, ROW = 1024, 512  # servers that any configuration has room for; bytes of one with the longest id
-ENTRY = 900  # bytes of an object in all tables of the decisions together
+BASE_MEMORY_BYTES = 26e6  # bytes of the program before its first request
+MIN_LISTED_SERVERS, SERVER_ENTRY_BYTES = (
+    1024,
+    512,
+)  # servers that any configuration has room for; bytes of one with the longest id
+OBJECT_ENTRY_BYTES = 900  # bytes of an object in all tables of the decisions together
 
 
 class BadConfig(Exception):
     """One clear line for the operator."""
 
 
-class NotReadNow(BadConfig):
+class ConfigTemporarilyUnreadable(BadConfig):
     """The file could not be read for a reason that may pass."""
 
 
 @dataclass(slots=True)
 class Limits:
     connect_timeout: float
-    idle: float
-    streams: int
+    idle_timeout: float
+    streams_per_connection: int
     sockets: int
     most_open: int
-    copies: int  # bytes of copies of its own
+    copy_bytes: int  # bytes of copies of its own
     bodies: int  # bytes that open requests may have brought together
-    memo: int  # entries of each table of objects that the decisions keep
-    buffers: int  # bytes of messages of clients that are not whole
-    memory: int  # bytes that queued answers may hold together
-    clients: int  # connections of clients, all fronts together
+    memo_entries: int  # entries of each table of objects that the decisions keep
+    partial_message_bytes: int  # bytes of messages of clients that are not whole
+    queued_answer_bytes: int  # bytes that queued answers may hold together
+    client_connections: int  # connections of clients, all fronts together
     server_connections: int  # connections to servers, all together
-    line: int  # bytes of one line of the bulletin: a whole list is one
-    drain: float  # seconds from SIGTERM to the last answer
+    bulletin_line_bytes: int  # bytes of one line of the bulletin: a whole list is one
+    drain_timeout: float  # seconds from SIGTERM to the last answer
     signature_boxes: frozenset[str] = frozenset()
 
-    def take(self, other: Limits) -> None:
+    def update_from(self, other: Limits) -> None:
         """All figures of another one, in place: whoever holds this one goes by them from now on."""
         for item in fields(self):
             setattr(self, item.name, getattr(other, item.name))
@@ -56,20 +61,20 @@
     console: tuple[str, int] | None  # the second address
     bulletin: tuple[str, int]
     seed: int
-    known_no: int
-    known: list[dict[str, Any]]
+    known_event_no: int
+    known_events: list[dict[str, Any]]
     settings: dict[str, Any]
     limits: Limits
-    flow: float  # bytes a second of one transfer of its own
-    link: float  # the same of all transfers together
+    flow_bytes_per_s: float  # bytes a second of one transfer of its own
+    link_bytes_per_s: float  # the same of all transfers together
 
     @property
-    def transfers(self) -> float:
+    def concurrent_transfers(self) -> float:
         """How many transfers of its own fit on its link at full pace."""
-        return self.link / self.flow if self.flow > 0 else 0.0
+        return self.link_bytes_per_s / self.flow_bytes_per_s if self.flow_bytes_per_s > 0 else 0.0
 
 
-def address(text: str, what: str) -> tuple[str, int]:
+def parse_address(text: str, what: str) -> tuple[str, int]:
     host, mark, port = text.rpartition(":")
     if not mark or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise BadConfig(f"{what} is not host:port: {text!r}")
@@ -85,7 +90,7 @@
             table = json.load(file)
         return _read(table, env)
     except OSError as problem:
-        kind = NotReadNow if meaning_of(problem) is Meaning.LOCAL else BadConfig
+        kind = ConfigTemporarilyUnreadable if meaning_of(problem) is Meaning.LOCAL else BadConfig
         raise kind(f"cannot read {path}: {problem.strerror}") from problem
     except (KeyError, TypeError, AttributeError, ValueError) as problem:
         raise BadConfig(f"{path}: {type(problem).__name__}: {problem}") from problem
@@ -102,37 +107,37 @@
     known = table.get("known") or {"no": 0, "items": []}
     return Config(
         name=env.get("GW_NAME") or str(table.get("name", "")),
-        listen=address(env.get("GW_LISTEN") or str(table["listen"]), "listen"),
-        console=address(console, "console") if console else None,
-        bulletin=address(str(table["bulletin"]), "bulletin"),
+        listen=parse_address(env.get("GW_LISTEN") or str(table["listen"]), "listen"),
+        console=parse_address(console, "console") if console else None,
+        bulletin=parse_address(str(table["bulletin"]), "bulletin"),
         seed=int(str(table.get("seed", "0")), 16),
-        known_no=int(known["no"]),
-        known=list(known["items"]),
+        known_event_no=int(known["no"]),
+        known_events=list(known["items"]),
         settings=settings,
-        limits=limits_of(limits, bounds, longest),
-        flow=float(table.get("flow_bytes_per_s", 0)),
-        link=float(table.get("link_bytes_per_s", 0)),
+        limits=derive_limits(limits, bounds, longest),
+        flow_bytes_per_s=float(table.get("flow_bytes_per_s", 0)),
+        link_bytes_per_s=float(table.get("link_bytes_per_s", 0)),
     )
 
 
-def limits_of(limits: dict[str, Any], bounds: dict[str, Any], longest: float) -> Limits:
+def derive_limits(limits: dict[str, Any], bounds: dict[str, Any], longest: float) -> Limits:
     """Every bound, from what the platform grants and what the settings allow. `longest`: of the deadlines."""
     sockets = int(limits.get("sockets", 1024))
     memory = float(limits.get("memory_mb", 192)) * 1e6
-    free = max(4e6, memory - BASE)
+    free = max(4e6, memory - BASE_MEMORY_BYTES)
     return Limits(
         connect_timeout=int(bounds.get("connectTimeout", 400_000)) / 1e6,
-        idle=int(bounds.get("connIdle", 15_000_000)) / 1e6,
-        streams=max(1, int(bounds.get("streamsPerConn", 100))),
+        idle_timeout=int(bounds.get("connIdle", 15_000_000)) / 1e6,
+        streams_per_connection=max(1, int(bounds.get("streamsPerConn", 100))),
         sockets=sockets,
         most_open=min(2_000, int(memory / 40_000), int(bounds.get("openCap", 2_000))),
-        copies=int(min(0.25 * memory, 0.4 * free)),
+        copy_bytes=int(min(0.25 * memory, 0.4 * free)),
         bodies=int(min(16e6, 0.2 * free)),
-        memo=int(min(40_000, 0.15 * free / ENTRY)),
-        buffers=int(0.2 * free),
-        memory=int(memory * 0.15),
-        clients=max(1, sockets // 2),
-        server_connections=max(8, sockets - sockets // 2 - SPARE),
-        line=max(LISTS * ROW, int(free / 16)),
-        drain=min(3.0, longest) + 0.4,
+        memo_entries=int(min(40_000, 0.15 * free / OBJECT_ENTRY_BYTES)),
+        partial_message_bytes=int(0.2 * free),
+        queued_answer_bytes=int(memory * 0.15),
+        client_connections=max(1, sockets // 2),
+        server_connections=max(8, sockets - sockets // 2 - RESERVED_DESCRIPTORS),
+        bulletin_line_bytes=max(MIN_LISTED_SERVERS * SERVER_ENTRY_BYTES, int(free / 16)),
+        drain_timeout=min(3.0, longest) + 0.4,
     )
--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -18,14 +18,14 @@
 WHOLE = 5_000_000  # us in which the line is there
 STALL = 5.0  # seconds that an answer may stay unread
 
-Figure = tuple[str, int, str]  # its name, value and kind: "c" counts up, "g" goes up and down
+Metric = tuple[str, int, str]  # its name, value and kind: "c" counts up, "g" goes up and down
 
 
-def statsd(figures: Iterable[Figure]) -> bytes:
+def format_statsd(figures: Iterable[Metric]) -> bytes:
     return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in figures).encode()
 
 
-class Caller:
+class ConsoleConnection:
     """One connection, one call."""
 
     def __init__(self, console: Console, sock: socket.socket) -> None:
@@ -56,7 +56,7 @@
             await self.stream.send_all(data)
 
     def close(self) -> None:
-        self.console.all.discard(self)
+        self.console.connections.discard(self)
         if self.task is not asyncio.current_task():
             self.task.cancel()
         self.stream.close()
@@ -68,23 +68,23 @@
     def __init__(
         self,
         fit: Callable[[], bool],
-        figures: Callable[[], Iterable[Figure]],
+        figures: Callable[[], Iterable[Metric]],
         pause: Callable[[], str],
         resume: Callable[[], str],
     ) -> None:
         super().__init__()
         self.fit, self.figures = fit, figures
         self.calls = {"PAUSE": pause, "RESUME": resume}
-        self.all: set[Caller] = set()
+        self.connections: set[ConsoleConnection] = set()
 
     def answer(self, line: bytes) -> bytes:
         word = line.decode("ascii", "replace").strip()
         if word == "STATUS":
             return b"200 ready\n" if self.fit() else b"400 not ready\n"
         if word == "METRICS":
-            return statsd(self.figures()) + b"EOF\n"
+            return format_statsd(self.figures()) + b"EOF\n"
         if word == "COUNTERS":
-            return statsd((name, value, "c") for name, value in metrics.counters()) + b"EOF\n"
+            return format_statsd((name, value, "c") for name, value in metrics.counters()) + b"EOF\n"
         if word not in self.calls:
             return b"400 unknown call\n"
         problem = self.calls[word]()
@@ -92,19 +92,19 @@
 
     def admit(self) -> bool:
         """Guards against callers that hold a connection: the one that has waited longest makes way."""
-        if len(self.all) >= CALLS:
-            min(self.all, key=lambda c: (c.called, c.began)).close()
+        if len(self.connections) >= CALLS:
+            min(self.connections, key=lambda c: (c.called, c.began)).close()
         return True
 
-    def welcome(self, sock: socket.socket) -> None:
-        self.all.add(Caller(self, sock))
+    def add_connection(self, sock: socket.socket) -> None:
+        self.connections.add(ConsoleConnection(self, sock))
 
     def sweep(self) -> None:
         now = now_us()
-        for caller in [c for c in self.all if not c.called and now - c.began > WHOLE]:
+        for caller in [c for c in self.connections if not c.called and now - c.began > WHOLE]:
             caller.close()
 
     def close(self) -> None:
         self.close_listener()
-        for caller in list(self.all):
+        for caller in list(self.connections):
             caller.close()
--- a/onyxpulley/http.py
+++ b/onyxpulley/http.py
@@ -15,7 +15,7 @@
 
 from onyxpulley import logs
 from onyxpulley.clock import now_us
-from onyxpulley.listeners import SILENT
+from onyxpulley.listeners import SILENT_CONNECTION_WEIGHT
 from onyxpulley.streams import Stream
 
 URL = 8_192
@@ -121,22 +121,22 @@
         self.spoke, self.began = True, 0
         self.wake.set()
 
-    def spare(self) -> bool:
+    def all_answered(self) -> bool:
         """Nothing is owed to it, though half a request may be here."""
         return not self.busy and not self.calls
 
     def idle(self) -> bool:
-        return self.spare() and not (self.heard and self.began)
+        return self.all_answered() and not (self.heard and self.began)
 
-    def still(self, now: int) -> int:
-        return (now - self.used) * (1 if self.heard else SILENT)
+    def eviction_age(self, now: int) -> int:
+        return (now - self.used) * (1 if self.heard else SILENT_CONNECTION_WEIGHT)
 
     def overdue(self) -> bool:
         """No whole request for long: bytes that trickle in do not count, nor does silence."""
         now = now_us()
         if self.began and now - self.began > WHOLE * 1e6:
             return True
-        return self.spare() and now - self.used > IDLE * 1e6
+        return self.all_answered() and now - self.used > IDLE * 1e6
 
     # ---- Two tasks
     async def run(self) -> None:
--- a/onyxpulley/listeners.py
+++ b/onyxpulley/listeners.py
@@ -15,8 +15,10 @@
 from onyxpulley.streams import close_quietly
 from onyxpulley.system_calls import Meaning, meaning_of, next_pause
 
-SILENT = 4  # times that silence counts on a connection that never said anything: half fails slow requests
-FIRST = 1_000_000  # us that a connection without a request is left when the router leaves
+SILENT_CONNECTION_WEIGHT = (
+    4  # times that silence counts on a connection that never said anything: half fails slow requests
+)
+FIRST_REQUEST_GRACE_US = 1_000_000  # us that a connection without a request is left when the router leaves
 AT_ONCE = 512  # connections in a row that were given up before they were accepted: a whole queue
 EMPTY_WITHIN = 500_000  # us in which the queue of new connections is emptied at the end
 ATTACH = 51  # SO_ATTACH_REUSEPORT_CBPF, which the socket module does not name
@@ -31,25 +33,25 @@
         sock.setsockopt(socket.SOL_SOCKET, ATTACH, struct.pack("HP", 1, ctypes.addressof(program)))
 
 
-class Holder(Protocol):
+class EvictableConnection(Protocol):
     """A connection that may have to make way for another one, whatever its front."""
 
-    def spare(self) -> bool: ...
-    def still(self, now: int) -> int: ...
+    def all_answered(self) -> bool: ...
+    def eviction_age(self, now: int) -> int: ...
     def close(self) -> None: ...
 
 
-def make_room(holders: Iterable[Holder], now: int) -> bool:
+def evict_one(holders: Iterable[EvictableConnection], now: int) -> bool:
     """Closes the one that has been still for longest, of those to whom nothing is owed. Guards requests that
     are slow to arrive: they and those that wait for their next one outlast the silent."""
-    spare = [holder for holder in holders if holder.spare()]
+    spare = [holder for holder in holders if holder.all_answered()]
     if spare:
-        max(spare, key=lambda holder: holder.still(now)).close()
+        max(spare, key=lambda holder: holder.eviction_age(now)).close()
     return bool(spare)
 
 
 class Listener:
-    """`admit` says whether one more connection has room; `welcome` takes it."""
+    """`admit` says whether one more connection has room; `add_connection` takes it."""
 
     def __init__(self) -> None:
         self.sock: socket.socket | None = None
@@ -114,7 +116,7 @@
 
     def _take(self, sock: socket.socket) -> None:
         if self.admit():
-            self.welcome(sock)
+            self.add_connection(sock)
         else:
             metrics.count("client_closed.no_room")
             close_quietly(sock)
@@ -122,7 +124,7 @@
     def admit(self) -> bool:
         raise NotImplementedError
 
-    def welcome(self, sock: socket.socket) -> None:
+    def add_connection(self, sock: socket.socket) -> None:
         raise NotImplementedError
 
     async def stop_listening(self) -> None:
--- a/onyxpulley/memo.py
+++ b/onyxpulley/memo.py
@@ -9,7 +9,7 @@
 K = TypeVar("K")
 V = TypeVar("V")
 SECOND = 1_000_000
-PLAIN = 100  # references whose bytes are those of a plain entry: eight bytes each, 900 in all (config.ENTRY)
+PLAIN = 100  # references whose bytes are those of a plain entry: eight each, 900 in all (OBJECT_ENTRY_BYTES)
 
 
 class Memo(OrderedDict[K, V], Generic[K, V]):
--- a/onyxpulley/operator.py
+++ b/onyxpulley/operator.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from onyxpulley.admin import ROLES
-from onyxpulley.config import BadConfig, address
+from onyxpulley.config import BadConfig, parse_address
 from onyxpulley.incident.keep import Keep
 from onyxpulley.spiffe.ids import BadIdentity, read_domain, read_id
 from onyxpulley.spiffe.peers import Expectations, Rules, read_callers
@@ -84,10 +84,10 @@
         allow[row["id"]] = row["role"]
     return Operator(
         tenants,
-        address(signed["listen"], "signed.listen") if signed else None,
+        parse_address(signed["listen"], "signed.listen") if signed else None,
         str(signed["public"]) if signed else "",
         frozenset(signed.get("signature_boxes", [])),
-        address(admin["listen"], "admin.listen") if admin else None,
+        parse_address(admin["listen"], "admin.listen") if admin else None,
         allow,
         identities,
         _records(table.get("records"), folder),
@@ -128,7 +128,7 @@
         raise BadConfig(f"{what}: either workload_api, or certificate, key and bundle")
     if agent:
         if not agent.startswith("unix:"):
-            address(agent, f"{what}.workload_api")
+            parse_address(agent, f"{what}.workload_api")
         if "federated" in table:
             raise BadConfig(f"{what}: federated bundles come from the Workload API")
     else:
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -17,13 +17,13 @@
 
 from onyxpulley import config, logs, metrics
 from onyxpulley.bulletin import Bulletin
-from onyxpulley.clients import Clients
+from onyxpulley.clients import PlatformFront
 from onyxpulley.clock import monotonic, now_us
-from onyxpulley.console import Console, Figure
+from onyxpulley.console import Console, Metric
 from onyxpulley.copies import Copies
 from onyxpulley.core import Exchange, Verdict
 from onyxpulley.facade import Facade
-from onyxpulley.listeners import FIRST, Listener, make_room
+from onyxpulley.listeners import FIRST_REQUEST_GRACE_US, Listener, evict_one
 from onyxpulley.news import BAD, UP
 from onyxpulley.servers import Servers
 from onyxpulley.streams import SocketStream
@@ -64,23 +64,28 @@
         self.conf, self.phase, self.operator = conf, Phase.STARTING, operator
         if operator is not None:
             conf.limits.signature_boxes = operator.boxes
-        self.facade = Facade(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
+        self.facade = Facade(conf.settings, conf.seed, conf.concurrent_transfers, conf.limits.memo_entries)
         self.servers = Servers(conf.limits)
-        self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copies))
+        self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copy_bytes))
         self.servers.exchange, self.servers.saw_copy = self.exchange, self.facade.platform.saw_copy
         self.bulletin = Bulletin(
-            conf.bulletin, conf.seed, conf.limits.line, self.facade, self.exchange, self.servers
+            conf.bulletin,
+            conf.seed,
+            conf.limits.bulletin_line_bytes,
+            self.facade,
+            self.exchange,
+            self.servers,
         )
         self.exchange.read_pending = self.bulletin.read_pending
-        self.clients = Clients(self.exchange, self.facade.classes, conf.limits)
+        self.clients = PlatformFront(self.exchange, self.facade.classes, conf.limits)
         self.term = asyncio.Event()
         self.fronts: list[Front] = []
         self.console = Console(lambda: self.clients.fit, self.figures, self.pause, self.resume)
         self.since = 0.0  # when it began to leave
         self.held = False  # told to pause, maybe while it started
         self.reloads = {"applied": 0, "rejected": 0}
-        self.clients.beside = lambda: sum(len(front.tasks) for front in self.fronts)
-        self.clients.others = lambda: [c for f in self.fronts if f.public for c in f.all]
+        self.clients.other_connections = lambda: sum(len(front.tasks) for front in self.fronts)
+        self.clients.evictable_elsewhere = lambda: [c for f in self.fronts if f.public for c in f.all]
         self.keeper: Keeper | None = None  # of identities, where the operator's file has some
         self.tasks: list[asyncio.Task[None]] = []
         self.recorder: Recorder | None = None
@@ -115,7 +120,7 @@
         self._recorded()
         self.enter(Phase.STARTING)
         try:
-            self.bulletin.known(self.conf.known_no, self.conf.known)
+            self.bulletin.known(self.conf.known_event_no, self.conf.known_events)
         except BAD as problem:
             raise config.BadConfig(f"known: bad event: {problem!r}") from problem
         fronts: list[tuple[Listener, tuple[str, int] | None]]
@@ -178,9 +183,9 @@
             new = config.load(os.environ)
             if (new.name, new.listen) != (old.name, old.listen):
                 raise config.BadConfig("name and listen take a restart")
-            self.facade.configure(new.settings, new.transfers, new.limits.memo)
+            self.facade.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
         except config.BadConfig as problem:
-            if isinstance(problem, config.NotReadNow) and tries > 1:
+            if isinstance(problem, config.ConfigTemporarilyUnreadable) and tries > 1:
                 asyncio.get_running_loop().call_later(RELOAD_AGAIN, self.reload, tries - 1)
                 return
             self.reloads["rejected"] += 1
@@ -188,9 +193,9 @@
             logs.say(f"{old.name}: reload: kept the old settings: {problem}")
             return
         new.limits.signature_boxes = old.limits.signature_boxes  # of the operator's file
-        old.limits.take(new.limits)
+        old.limits.update_from(new.limits)
         new.limits, self.conf = old.limits, new
-        self.exchange.copies.shrink(new.limits.copies)
+        self.exchange.copies.shrink(new.limits.copy_bytes)
         self.clients.classes = self.facade.classes
         self.bulletin.move(new.bulletin)
         self.reloads["applied"] += 1
@@ -216,9 +221,9 @@
             self.enter(Phase.SERVING)
         return "" if self.phase is Phase.SERVING else f"it is {self.phase.value}"
 
-    def figures(self) -> list[Figure]:
+    def figures(self) -> list[Metric]:
         answers, (known, avoided) = self.exchange.answers, self.facade.listed()
-        rows: list[Figure] = []
+        rows: list[Metric] = []
         for cls in sorted({*self.facade.classes, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
             rows += [
@@ -247,7 +252,7 @@
             self.clients.leave()
             for front in self.fronts:
                 front.leave()
-        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain)
+        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain_timeout)
         if past >= SETTLE and self.phase is Phase.PAUSED:
             self.clients.settle()
 
@@ -369,7 +374,7 @@
         for listener in (self.clients, *self.fronts):
             await listener.stop_listening()
         await asyncio.sleep(SWEEP / 2)  # what was in the queue is read before anyone looks for quiet
-        last_answers = start + self.conf.limits.drain
+        last_answers = start + self.conf.limits.drain_timeout
         while not self.quiet() and monotonic() < last_answers + FLUSH:
             if monotonic() > last_answers:
                 self.exchange.end()
@@ -388,7 +393,7 @@
         self,
         address: tuple[str, int],
         connect: Callable[[SocketStream], Connection | Awaitable[Connection | None]],
-        clients: Clients,
+        clients: PlatformFront,
         public: bool = False,  # its callers make way for others; the staff's do not
     ) -> None:
         super().__init__()
@@ -399,10 +404,10 @@
 
     def admit(self) -> bool:
         if len(self.tasks) >= HTTP:
-            return make_room(self.all, now_us())
+            return evict_one(self.all, now_us())
         return self.clients.admit()
 
-    def welcome(self, sock: socket.socket) -> None:
+    def add_connection(self, sock: socket.socket) -> None:
         task = asyncio.create_task(self._one(SocketStream(sock, "client", self.failing_since)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -423,7 +428,7 @@
             connection.close()
 
     def leave(self) -> None:
-        late = now_us() - FIRST
+        late = now_us() - FIRST_REQUEST_GRACE_US
         for connection in [c for c in self.all if c.leaving() and c.idle() and (c.spoke or c.used < late)]:
             connection.close()
 
@@ -445,7 +450,7 @@
     while True:
         try:
             return config.load(os.environ)
-        except config.NotReadNow:
+        except config.ConfigTemporarilyUnreadable:
             if monotonic() > end:
                 raise
         time.sleep(SWEEP)
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -338,12 +338,12 @@
         """The least busy connection that may take it, or a new one. What must not run twice goes alone:
         whatever ends a connection ends all that is out on it."""
         now, limits = now_us(), self.limits
-        idle, silence = int(limits.idle * 0.8e6), self.servers.silence()
+        idle, silence = int(limits.idle_timeout * 0.8e6), self.servers.silence()
         fit = [
             connection
             for connection in self.connections
             if connection.fit(now, silence, idle)
-            and connection.load() < limits.streams
+            and connection.load() < limits.streams_per_connection
             and not connection.holds(attempt)
         ]
         free = [connection for connection in fit if not connection.alone()]
@@ -475,7 +475,7 @@
                 connection.close(Outcome.BROKEN)
             if not connection.closed and not connection.load() and connection.up:
                 gone = connection.pool.retired or not connection.takes()
-                if gone or now - connection.used > self.limits.idle * 0.9e6:
+                if gone or now - connection.used > self.limits.idle_timeout * 0.9e6:
                     connection.close(Outcome.BROKEN)
         self.retired = [pool for pool in self.retired if pool.connections]
 
--- a/onyxpulley/spiffe/trust.py
+++ b/onyxpulley/spiffe/trust.py
@@ -23,7 +23,7 @@
 from onyxpulley.wires import Wire
 
 if TYPE_CHECKING:
-    from onyxpulley.console import Figure
+    from onyxpulley.console import Metric
     from onyxpulley.spiffe.workload import Agent
 
 HANDSHAKE = 1.0  # seconds of a handshake with a server: it is two ways there and back, and some arithmetic
@@ -213,9 +213,9 @@
             raise self._refuse("caller", str(problem) or type(problem).__name__) from problem
 
     # ---- What staff see
-    def figures(self) -> list[Figure]:
+    def figures(self) -> list[Metric]:
         held, now = self.identities, self.clock()
-        rows: list[Figure] = [
+        rows: list[Metric] = [
             ("identity_seconds_left", int(held.ends(now)), "g"),
             ("identity_rotations", held.rotations, "c"),
             ("identity_updates_rejected", held.rejected, "c"),
--- a/tests/player.py
+++ b/tests/player.py
@@ -30,7 +30,7 @@
 from pathlib import Path
 from typing import Any
 
-PATIENCE = 8.0
+STEP_TIMEOUT_S = 8.0
 ROOT = Path(__file__).parents[1]
 SETTINGS: dict[str, Any] = {
     "azs": ["hub", "edge-1"],
@@ -76,7 +76,7 @@
 KINDS = {"c": ("edge-1", "box"), "p": ("hub", "parent"), "o": ("hub", "origin")}
 
 
-def resp(words: list[bytes]) -> bytes:
+def encode_resp(words: list[bytes]) -> bytes:
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
 
 
@@ -94,11 +94,11 @@
     """One connection, or all connections of a server seen as one."""
 
     def __init__(self) -> None:
-        self.got, self.news, self.ended = b"", asyncio.Event(), False
+        self.received, self.news, self.ended = b"", asyncio.Event(), False
         self.writer: asyncio.StreamWriter | None = None
         self.server: asyncio.Server | None = None
         self.resets, self.connections = False, 0
-        self.auto = False  # it answers every request by itself
+        self.answers_by_itself = False  # it answers every request by itself
         self.greeting: Callable[[], bytes] | None = None  # its answer to the first words of each connection
         self.owner: dict[bytes, asyncio.StreamWriter] = {}  # where a request came, there its answer goes
 
@@ -110,13 +110,13 @@
         try:
             greeting, rest = self.greeting, b""
             while data := await reader.read(65536):
-                if self.auto:
+                if self.answers_by_itself:
                     *lines, rest = (rest + data).split(b"\r\n")
                     for line in lines:
                         if line.startswith(b"fetch "):
                             writer.write(line.split(b" ")[1] + b" data version=aa 2\r\nok\r\n")
                     continue
-                self.got += data
+                self.received += data
                 if greeting is not None:
                     writer.write(greeting())
                     greeting = None
@@ -130,42 +130,47 @@
 
     async def expect(self, pattern: re.Pattern[bytes] | None) -> re.Match[bytes] | None:
         """What the pattern finds at the front; with none, that the connection ends with nothing more."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
-                found = pattern.match(self.got) if pattern else None
+                found = pattern.match(self.received) if pattern else None
                 if found:
-                    self.got = self.got[found.end() :]
+                    self.received = self.received[found.end() :]
                     return found
                 if pattern is None and self.ended:
-                    assert not self.got, self.got
+                    assert not self.received, self.received
                     return None
                 if self.ended and self.server is None:
-                    raise ConnectionResetError(f"ended after {self.got!r}")
+                    raise ConnectionResetError(f"ended after {self.received!r}")
                 self.news.clear()
                 await self.news.wait()
 
 
-class Play:
-    def __init__(self, folder: Path, fill: Any = None, operator: str = "", tls: Any = None) -> None:
-        self.folder, self.fill, self.operator, self.tls = folder, fill or (lambda text: text), operator, tls
+class ExchangePlayer:
+    def __init__(self, folder: Path, fill: Any = None, operator: str = "", client_tls: Any = None) -> None:
+        self.folder, self.fill, self.operator, self.client_tls = (
+            folder,
+            fill or (lambda text: text),
+            operator,
+            client_tls,
+        )
         self.parties: dict[str, Party] = {}
         self.values: dict[str, str] = {}
         self.ports = {name: free_port() for name in "chakl"}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rosters = 0
+        self.events_sent = 0
         self.crowd: list[asyncio.StreamWriter] = []
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
         self.log = folder / "log"
         self.second: subprocess.Popen[bytes] | None = None
 
-    def number(self) -> bytes:
-        return b'{"no":%d}\n' % (1 + self.rosters)
+    def last_event_line(self) -> bytes:
+        return b'{"no":%d}\n' % (1 + self.events_sent)
 
     async def start(self, servers: list[str]) -> None:
         for name in ["b", *servers]:
             party = self.parties[name] = Party()
-            party.greeting = self.number if name == "b" else None
-            party.server = await asyncio.start_server(party.read, "127.0.0.1", 0, ssl=self.guard(name))
+            party.greeting = self.last_event_line if name == "b" else None
+            party.server = await asyncio.start_server(party.read, "127.0.0.1", 0, ssl=self.server_tls(name))
         for _ in range(5):  # another process may have taken a port meanwhile
             self.launch(servers)
             while "serving" not in self.log.read_text() and self.process.poll() is None:
@@ -177,7 +182,7 @@
         await self.expect("b", '"after 1\\n"')
         self.tasks.add(asyncio.create_task(self.beat()))
 
-    def guard(self, name: str) -> ssl.SSLContext | None:
+    def server_tls(self, name: str) -> ssl.SSLContext | None:
         """Under what a server speaks TLS, if it does."""
         return None
 
@@ -224,7 +229,7 @@
         before = self.log.read_text().count("reload")
         (self.folder / "config.json").write_text(text)
         self.process.send_signal(signal.SIGHUP)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while self.log.read_text().count("reload") == before:
                 await asyncio.sleep(0.02)
 
@@ -234,7 +239,7 @@
             await asyncio.sleep(1.0)
             writer = self.parties["b"].writer
             if writer is not None and not writer.is_closing():
-                writer.write(self.number())
+                writer.write(self.last_event_line())
 
     def port(self, name: str) -> int:
         server = self.parties[name].server
@@ -261,7 +266,7 @@
         if name not in self.parties:
             party = self.parties[name] = Party()
             kind = name[0]
-            tls = self.tls(name) if self.tls and kind in "ah" else None
+            tls = self.client_tls(name) if self.client_tls and kind in "ah" else None
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", self.ports[kind], ssl=tls, server_hostname="onyxpulley" if tls else None
             )
@@ -276,15 +281,15 @@
 
     def encode(self, name: str, text: str) -> bytes:
         if text == "{48001 bytes}":
-            return resp([*f"ASK 1 convert-job {ROW}".format(1).encode().split(), b"x" * 48_001])
+            return encode_resp([*f"ASK 1 convert-job {ROW}".format(1).encode().split(), b"x" * 48_001])
         if text == "{32 convert-job}" and name == "c1":
             asks = [f"ASK {n} convert-job {ROW}".format(n).encode().split() for n in range(1, 33)]
-            return b"".join(resp(words) for words in asks)
+            return b"".join(encode_resp(words) for words in asks)
         if text.startswith('"'):
             return raw(text[1:-1])
         if name[0] == "c" and name[1:].isdigit() and self.parties[name].server is None:
             words = [raw(w) for w in text.split(" ")]
-            return resp(words)
+            return encode_resp(words)
         if name[0] in "ha" and self.parties[name].server is None:
             head, _, body = text.partition(" | ")
             lines = head.split(" ; ")
@@ -314,7 +319,7 @@
             try:
                 found = await party.expect(re.compile(pattern + size, re.S))
             except TimeoutError:
-                raise AssertionError(f"{name}: wanted {text!r}, had {party.got!r}") from None
+                raise AssertionError(f"{name}: wanted {text!r}, had {party.received!r}") from None
             assert found is not None
             body = int(found["size"] or 0)
             await party.expect(re.compile(b".{%d}" % body, re.S))
@@ -339,7 +344,7 @@
         try:
             found = await party.expect(re.compile(regex.encode("latin-1")))
         except TimeoutError:
-            raise AssertionError(f"{name}: wanted {data!r}, had {party.got!r}") from None
+            raise AssertionError(f"{name}: wanted {data!r}, had {party.received!r}") from None
         assert found is not None
         self.values.update({k: v.decode() for k, v in found.groupdict().items()})
 
@@ -352,28 +357,30 @@
         elif name == "term":
             self.process.terminate()
         elif name == "exit":
-            code = await asyncio.to_thread(self.process.wait, PATIENCE)
+            code = await asyncio.to_thread(self.process.wait, STEP_TIMEOUT_S)
             assert code == int(verb)
         elif name == "log":
             text = self.log.read_text()
             assert (self.put(rest) in text) == (verb == "has"), text
         elif name == "b" and verb == "lists":
-            self.rosters += 1
-            row = self.roster(1 + self.rosters, [(w.split("=")[0], w.split("=")[1]) for w in rest.split()])
+            self.events_sent += 1
+            row = self.roster(
+                1 + self.events_sent, [(w.split("=")[0], w.split("=")[1]) for w in rest.split()]
+            )
             await self.send("b", '"' + json.dumps(row).replace('"', '\\"') + '\\n"')
         elif name == "b" and verb == "purges":
-            self.rosters += 1
-            recall = {"no": 1 + self.rosters, "recall": {"item": rest, "issued": int(time.time() * 1000)}}
+            self.events_sent += 1
+            recall = {"no": 1 + self.events_sent, "recall": {"item": rest, "issued": int(time.time() * 1000)}}
             await self.send("b", json.dumps(recall).replace("\\", "\\\\") + "\\n")
         elif name in ("many", "hold", "large"):
             port = self.ports["k" if name == "hold" else "c"]
             for _ in range(int(verb)):
                 self.crowd.append((await asyncio.open_connection("127.0.0.1", port))[1])
                 if name == "large":
-                    part = resp([b"ASK", b"1", b"convert-job", b"-", b"x" * 48_000])[:-9]
+                    part = encode_resp([b"ASK", b"1", b"convert-job", b"-", b"x" * 48_000])[:-9]
                     self.crowd[-1].write(part)
         elif verb == "forget":
-            self.parties[name].got = b""
+            self.parties[name].received = b""
         elif verb == "resets":
             self.parties[name].resets = True
         elif verb == "connections":
@@ -382,7 +389,7 @@
             await self.reload(f"{verb} {rest}")
         elif name == "b" and verb == "moves":
             old, party = self.parties["b"], Party()
-            party.greeting = self.number
+            party.greeting = self.last_event_line
             party.server = await asyncio.start_server(party.read, "127.0.0.1", 0)
             self.parties["b"] = party
             assert old.server is not None
@@ -423,7 +430,7 @@
                         f"step {no}: {line}\n{problem!r}\n{self.log.read_text()}"
                     ) from problem
             await asyncio.sleep(0.1)
-            left = {name: p.got for name, p in self.parties.items() if p.got}
+            left = {name: p.received for name, p in self.parties.items() if p.received}
             assert not left, left
             assert "Traceback" not in self.log.read_text(), self.log.read_text()
         finally:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -12,10 +12,10 @@
 import pytest
 
 from onyxpulley import config
-from onyxpulley.clients import LINES, Clients
+from onyxpulley.clients import MAX_LOG_LINES_PER_SECOND, PlatformFront
 
 from .helpers import World, with_settings
-from .player import SETTINGS, Play, read_cases
+from .player import SETTINGS, ExchangePlayer, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
 CASES = read_cases(FOLDER / "platform.txt") + read_cases(FOLDER / "operating.txt")
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("lines", [pytest.param(lines, id=name) for name, lines in CASES])
 def test_exchange(lines: list[str], tmp_path: Path) -> None:
     async def play() -> None:
-        await Play(tmp_path).run(lines)
+        await ExchangePlayer(tmp_path).run(lines)
 
     asyncio.run(play())
 
@@ -62,8 +62,17 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**GOOD, "limits": {"memory_mb": megabytes, "sockets": 256}}))
     limits = config.load({"GW_CONFIG": str(path)}).limits
-    held = limits.copies + limits.bodies + limits.buffers + limits.memo * config.ENTRY
-    assert config.BASE + held <= megabytes * 1e6 and limits.memo >= 900 and limits.most_open >= 800
+    held = (
+        limits.copy_bytes
+        + limits.bodies
+        + limits.partial_message_bytes
+        + limits.memo_entries * config.OBJECT_ENTRY_BYTES
+    )
+    assert (
+        config.BASE_MEMORY_BYTES + held <= megabytes * 1e6
+        and limits.memo_entries >= 900
+        and limits.most_open >= 800
+    )
 
 
 def test_the_tables_of_the_decisions_stay_within_their_bound() -> None:
@@ -81,16 +90,17 @@
     path.write_text(json.dumps({**GOOD, "limits": {"memory_mb": 32, "sockets": sockets}}))
     limits = config.load({"GW_CONFIG": str(path)}).limits
     assert (
-        limits.clients + limits.server_connections + config.SPARE <= sockets and limits.clients > sockets // 3
+        limits.client_connections + limits.server_connections + config.RESERVED_DESCRIPTORS <= sockets
+        and limits.client_connections > sockets // 3
     )
 
 
 def test_very_many_bad_clients_fill_no_log(capfd: pytest.CaptureFixture[str]) -> None:
-    clients = Clients.__new__(Clients)
+    clients = PlatformFront.__new__(PlatformFront)
     clients.said, clients.said_at = 0, 10**18
-    for _ in range(10 * LINES):
+    for _ in range(10 * MAX_LOG_LINES_PER_SECOND):
         clients.say("bad")
     clients.said_at = -(10**18)
     clients.say("bad")
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) == LINES + 2 and f"{9 * LINES} more" in lines[-2]
+    assert len(lines) == MAX_LOG_LINES_PER_SECOND + 2 and f"{9 * MAX_LOG_LINES_PER_SECOND} more" in lines[-2]
--- a/tests/test_identities.py
+++ b/tests/test_identities.py
@@ -17,7 +17,7 @@
 from onyxpulley.config import BadConfig
 
 from .issuer import AgentStandIn, Domain, answer, response
-from .player import PATIENCE, SETTINGS, Play, free_port, read_cases
+from .player import SETTINGS, STEP_TIMEOUT_S, ExchangePlayer, free_port, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
 CASES = read_cases(FOLDER / "identities.txt")
@@ -37,7 +37,7 @@
 FAULT = ("until", "since", "usage")
 
 
-class Guarded(Play):
+class Guarded(ExchangePlayer):
     """A play whose servers show SVIDs. More steps: `ID shows PATH [FAULT=SECONDS …] [by next|stray|between]`,
     `ID also NAME` (a second name of that address), `entries ID …` (with `- SPIFFE_ID` revoked), `agent tells
     [FAULT=SECONDS …] [of both|next] [without ID]`, `agent stops|starts|cuts|babbles`, `soon log has TEXT`."""
@@ -50,7 +50,7 @@
         self.contexts: dict[str, ssl.SSLContext] = {}
         self.more = ""
 
-    def guard(self, name: str) -> ssl.SSLContext | None:
+    def server_tls(self, name: str) -> ssl.SSLContext | None:
         if name == "b":
             return None
         context = self.contexts[name] = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -92,12 +92,12 @@
         await self.soon("event=health state=good")
 
     async def soon(self, text: str) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while text not in self.log.read_text():
                 await asyncio.sleep(0.02)
 
     async def listening(self) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while not self.agent.queues:
                 await asyncio.sleep(0.02)
 
@@ -130,7 +130,7 @@
                 )
             before = self.log.read_text().count("source=agent svid")
             self.agent.tell(message)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(STEP_TIMEOUT_S):
                 while self.log.read_text().count("source=agent svid") == before:
                     await asyncio.sleep(0.02)
         elif words[0] == "agent":
@@ -254,8 +254,8 @@
 
     async def step(self: Guarded, line: str) -> None:
         if line == "keep k1":
-            found = self.parties["k1"].got.decode()
-            self.parties["k1"].got = b""
+            found = self.parties["k1"].received.decode()
+            self.parties["k1"].received = b""
             assert "app.handshakes_full:1|c" in found and "app.handshakes_resumed:2|c" in found, found
             assert "app.peers_refused.other_identity:0|c" in found
             return
@@ -279,7 +279,7 @@
 def test_callers_of_the_signed_front_show_who_they_are(tmp_path: Path) -> None:
     """h1 is of the staff; h2 is not let in, h3 is signed by somebody else, h4 shows nothing at all."""
     rig = Guarded(tmp_path)
-    rig.tls, rig.more = rig.caller, '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
+    rig.client_tls, rig.more = rig.caller, '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
     lines = [
         "servers c0 p0 o",
         "h1 > GET /health",
@@ -304,7 +304,7 @@
 
     async def load() -> None:
         for name in ("c0", "c1x", "p0", "o"):
-            rig.parties[name].auto = True
+            rig.parties[name].answers_by_itself = True
         client = await rig.party("c1")
         for no in range(1, 401):
             row = f"txn={no:016x},limit=4000,item={no % 40:016x},part=0,group=1,ram=4"
@@ -314,11 +314,11 @@
                     rig.show(name, f"/box/{name}", rig.home, {})
                 await rig.step("agent tells of both" if no % 160 else "agent tells")
             await asyncio.sleep(0.005)
-        async with asyncio.timeout(PATIENCE):
-            while client.got.count(b"\r\ngood\r\n") < 400:
+        async with asyncio.timeout(STEP_TIMEOUT_S):
+            while client.received.count(b"\r\ngood\r\n") < 400:
                 await asyncio.sleep(0.02)
-        answers.append(client.got)
-        client.got = b""
+        answers.append(client.received)
+        client.received = b""
 
     async def play() -> None:
         plain = rig.step
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -28,7 +28,7 @@
 from onyxpulley.incident.report import render
 from onyxpulley.incident.tally import EVENTS, KEYS, Tally
 
-from .player import Play
+from .player import ExchangePlayer
 
 START = 1_790_000_000 * SECOND
 OFF = {"n0": 0.0, "n1": 2.0, "n2": -1.5}  # seconds by which the clocks are off
@@ -300,7 +300,7 @@
     assert recorder.tally.dropped > 0
 
 
-class Recorded(Play):
+class Recorded(ExchangePlayer):
     """A play whose program records. `marks`: when each step began and ended, by wall clock."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,13 +13,13 @@
 import pytest
 
 from onyxpulley import config
-from onyxpulley.clients import Client, Clients
+from onyxpulley.clients import ClientConnection, PlatformFront
 from onyxpulley.clock import now_us
 from onyxpulley.copies import Copies
 from onyxpulley.core import Answer, Attempt, Exchange, Outcome, Report, Request
 from onyxpulley.facade import Facade, Member
 
-from .player import SETTINGS, resp
+from .player import SETTINGS, encode_resp
 
 
 @pytest.fixture(autouse=True)
@@ -83,26 +83,26 @@
 def test_a_closed_client_is_gone_and_an_idle_one_holds_no_answer(tmp_path: Path) -> None:
     async def play() -> None:
         exchange, _, limits = make(tmp_path)
-        front = Clients(exchange, frozenset(["page-file"]), limits)
+        front = PlatformFront(exchange, frozenset(["page-file"]), limits)
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         theirs.setblocking(False)
-        front.welcome(ours)
-        client = next(iter(front.all))
+        front.add_connection(ours)
+        client = next(iter(front.connections))
         loop = asyncio.get_running_loop()
-        await loop.sock_sendall(theirs, resp([b"STATUS", b"1", b""]))
+        await loop.sock_sendall(theirs, encode_resp([b"STATUS", b"1", b""]))
         assert b"unfit" in await loop.sock_recv(theirs, 100)
         answer = bytearray(b"x" * 50_000)
-        client.push(memoryview(answer))  # type: ignore[arg-type]
-        while client.held:
+        client.send(memoryview(answer))  # type: ignore[arg-type]
+        while client.unsent_bytes:
             await loop.sock_recv(theirs, 100_000)
         await asyncio.sleep(0)
         answer.clear()  # raises BufferError while anyone holds on to what was written
-        found: weakref.ref[Client] = weakref.ref(client)
+        found: weakref.ref[ClientConnection] = weakref.ref(client)
         theirs.close()
         del client
         for _ in range(20):
             await asyncio.sleep(0.005)
-        assert found() is None and not front.all
+        assert found() is None and not front.connections
 
     asyncio.run(play())
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -14,7 +14,7 @@
 import pytest
 
 from onyxpulley.bulletin import Bulletin
-from onyxpulley.config import ENTRY, limits_of
+from onyxpulley.config import OBJECT_ENTRY_BYTES, derive_limits
 from onyxpulley.copies import Copies
 from onyxpulley.core import Exchange, Request
 from onyxpulley.facade import Facade
@@ -24,9 +24,9 @@
 
 from .helpers import World as Decisions
 from .helpers import entries, with_settings
-from .player import SETTINGS, Play
+from .player import SETTINGS, ExchangePlayer
 
-LIMITS = limits_of({"memory_mb": 64, "sockets": 256}, {}, 3.0)
+LIMITS = derive_limits({"memory_mb": 64, "sockets": 256}, {}, 3.0)
 
 
 def roster(no: int, rows: dict[str, str], full: bool = False, **more: Any) -> dict[str, Any]:
@@ -208,7 +208,7 @@
         self.exchange = Exchange(self.facade, self.servers, LIMITS, Copies(0))
         self.servers.exchange = self.exchange
         self.bulletin = Bulletin(
-            ("127.0.0.1", port), 1, LIMITS.line, self.facade, self.exchange, self.servers
+            ("127.0.0.1", port), 1, LIMITS.bulletin_line_bytes, self.facade, self.exchange, self.servers
         )
         self.exchange.read_pending = self.bulletin.read_pending
         self.bulletin.known(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
@@ -283,11 +283,11 @@
 def test_a_router_is_fit_when_the_news_caught_up_or_after_two_seconds(speaks: bool, tmp_path: Path) -> None:
     """Its first words bring a drain that `known` had not: fit is said behind it, not before."""
 
-    class Behind(Play):
-        def number(self) -> bytes:
+    class Behind(ExchangePlayer):
+        def last_event_line(self) -> bytes:
             if not speaks:
                 return b""
-            self.rosters = 1
+            self.events_sent = 1
             return json.dumps(self.roster(2, [("c0", "Terminating"), ("p0", "Terminating")])).encode() + b"\n"
 
     async def play() -> None:
@@ -322,7 +322,7 @@
     for no in range(600):
         world.router.ranked("cache", f"x{no}")
     ranks = world.router.ranks
-    assert sum(8 * len(row) for row in ranks.values()) <= 500 * ENTRY
+    assert sum(8 * len(row) for row in ranks.values()) <= 500 * OBJECT_ENTRY_BYTES
     assert len(ranks) >= 40, "and still enough to be of use"
     world.router.configure(with_settings(memo=100))
     world.router.ranked("cache", "x0")
@@ -348,7 +348,7 @@
             whole = line(roster(3, {**fleet(1024, "Ready", 1100), "o": "Ready"}, full=True)) + b"\n"
             parts = [roster(4 + n, {uid: "Terminating"}) for n, uid in enumerate(fleet(1024, "", 1100))]
             changes = b"".join(line(row) + b"\n" for row in parts)
-            assert len(whole) <= LIMITS.line
+            assert len(whole) <= LIMITS.bulletin_line_bytes
             await loop.run_in_executor(None, peer.sendall, whole + changes)
             async with asyncio.timeout(20):
                 while rig.bulletin.no < 3 + 1100:
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -20,7 +20,7 @@
 from onyxpulley.config import BadConfig
 
 from .issuer import Domain
-from .player import PATIENCE, Play, read_cases
+from .player import STEP_TIMEOUT_S, ExchangePlayer, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
 PUBLIC = "https://lecciones.example"
@@ -70,7 +70,7 @@
     return found[1] if found[2] else ""
 
 
-class Console(Play):
+class Console(ExchangePlayer):
     """A play with callers of the administration API, each with its SVID."""
 
     def __init__(self, folder: Path) -> None:
@@ -108,7 +108,7 @@
             for name in ("svid.key", "svid.pem"):
                 (self.folder / name).write_bytes((self.folder / f"next-{name}").read_bytes())
             (self.folder / "bundle.pem").write_bytes((self.folder / "next.pem").read_bytes())
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(STEP_TIMEOUT_S):
                 while "event=reloaded source=files" not in self.log.read_text():
                     await asyncio.sleep(0.05)
         elif line.endswith("turned away"):
@@ -156,7 +156,7 @@
 )
 def test_signed(lines: list[str], tmp_path: Path) -> None:
     async def play() -> None:
-        await Play(tmp_path, fill, operator()).run(lines)
+        await ExchangePlayer(tmp_path, fill, operator()).run(lines)
 
     asyncio.run(play())
 
