--- a/onyxpulley/bounded_state.py
+++ b/onyxpulley/bounded_state.py
@@ -10,7 +10,7 @@
 V = TypeVar("V")
 SECOND = 1_000_000
 REFERENCES_PER_ENTRY = (
-    100  # references whose bytes are those of a plain entry: eight bytes each, 900 in all (config.ENTRY)
+    100  # references whose bytes are those of a plain entry: eight each, 900 in all (OBJECT_ENTRY_BYTES)
 )
 
 
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -16,15 +16,15 @@
 import uvloop
 
 from onyxpulley import config, logs, metrics
-from onyxpulley.clients import Clients
+from onyxpulley.clients import PlatformFront
 from onyxpulley.clock import monotonic, now_us
-from onyxpulley.console import Console, Figure
+from onyxpulley.console import Console, Metric
 from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Exchange, Verdict
 from onyxpulley.decision_adapter import DecisionAdapter
 from onyxpulley.discovery import DiscoveryClient
 from onyxpulley.discovery_events import CONNECT_TIMEOUT_S, PARSE_ERRORS
-from onyxpulley.listeners import FIRST, Listener, make_room
+from onyxpulley.listeners import FIRST_REQUEST_GRACE_US, Listener, evict_one
 from onyxpulley.servers import Servers
 from onyxpulley.streams import SocketStream
 from onyxpulley.system_calls import ErrorKind, classify_error
@@ -64,26 +64,33 @@
         self.conf, self.phase, self.operator = conf, Phase.STARTING, operator
         if operator is not None:
             conf.limits.signature_boxes = operator.boxes
-        self.facade = DecisionAdapter(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
+        self.facade = DecisionAdapter(
+            conf.settings, conf.seed, conf.concurrent_transfers, conf.limits.memo_entries
+        )
         self.servers = Servers(conf.limits)
-        self.exchange = Exchange(self.facade, self.servers, conf.limits, CopyStore(conf.limits.copies))
+        self.exchange = Exchange(self.facade, self.servers, conf.limits, CopyStore(conf.limits.copy_bytes))
         self.servers.exchange, self.servers.on_copy_timestamp = (
             self.exchange,
             self.facade.platform_clock.observe_copy,
         )
         self.bulletin = DiscoveryClient(
-            conf.bulletin, conf.seed, conf.limits.line, self.facade, self.exchange, self.servers
+            conf.bulletin,
+            conf.seed,
+            conf.limits.bulletin_line_bytes,
+            self.facade,
+            self.exchange,
+            self.servers,
         )
         self.exchange.read_pending = self.bulletin.read_pending
-        self.clients = Clients(self.exchange, self.facade.class_names, conf.limits)
+        self.clients = PlatformFront(self.exchange, self.facade.class_names, conf.limits)
         self.term = asyncio.Event()
         self.fronts: list[Front] = []
         self.console = Console(lambda: self.clients.fit, self.figures, self.pause, self.resume)
         self.since = 0.0  # when it began to leave
         self.held = False  # told to pause, maybe while it started
         self.reloads = {"applied": 0, "rejected": 0}
-        self.clients.beside = lambda: sum(len(front.tasks) for front in self.fronts)
-        self.clients.others = lambda: [c for f in self.fronts if f.public for c in f.all]
+        self.clients.other_connections = lambda: sum(len(front.tasks) for front in self.fronts)
+        self.clients.evictable_elsewhere = lambda: [c for f in self.fronts if f.public for c in f.all]
         self.keeper: Keeper | None = None  # of identities, where the operator's file has some
         self.tasks: list[asyncio.Task[None]] = []
         self.recorder: Recorder | None = None
@@ -118,7 +125,7 @@
         self._recorded()
         self.enter(Phase.STARTING)
         try:
-            self.bulletin.load_initial(self.conf.known_no, self.conf.known)
+            self.bulletin.load_initial(self.conf.known_event_no, self.conf.known_events)
         except PARSE_ERRORS as problem:
             raise config.BadConfig(f"known: bad event: {problem!r}") from problem
         fronts: list[tuple[Listener, tuple[str, int] | None]]
@@ -183,9 +190,9 @@
             new = config.load(os.environ)
             if (new.name, new.listen) != (old.name, old.listen):
                 raise config.BadConfig("name and listen take a restart")
-            self.facade.configure(new.settings, new.transfers, new.limits.memo)
+            self.facade.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
         except config.BadConfig as problem:
-            if isinstance(problem, config.NotReadNow) and tries > 1:
+            if isinstance(problem, config.ConfigTemporarilyUnreadable) and tries > 1:
                 asyncio.get_running_loop().call_later(RELOAD_AGAIN, self.reload, tries - 1)
                 return
             self.reloads["rejected"] += 1
@@ -193,9 +200,9 @@
             logs.info(f"{old.name}: reload: kept the old settings: {problem}")
             return
         new.limits.signature_boxes = old.limits.signature_boxes  # of the operator's file
-        old.limits.take(new.limits)
+        old.limits.update_from(new.limits)
         new.limits, self.conf = old.limits, new
-        self.exchange.copies.resize(new.limits.copies)
+        self.exchange.copies.resize(new.limits.copy_bytes)
         self.clients.classes = self.facade.class_names
         self.bulletin.change_address(new.bulletin)
         self.reloads["applied"] += 1
@@ -221,9 +228,9 @@
             self.enter(Phase.SERVING)
         return "" if self.phase is Phase.SERVING else f"it is {self.phase.value}"
 
-    def figures(self) -> list[Figure]:
+    def figures(self) -> list[Metric]:
         answers, (known, avoided) = self.exchange.answer_counts, self.facade.server_counts()
-        rows: list[Figure] = []
+        rows: list[Metric] = []
         for cls in sorted({*self.facade.class_names, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
             rows += [
@@ -252,7 +259,7 @@
             self.clients.leave()
             for front in self.fronts:
                 front.leave()
-        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain)
+        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain_timeout)
         if past >= SETTLE and self.phase is Phase.PAUSED:
             self.clients.settle()
 
@@ -374,7 +381,7 @@
         for listener in (self.clients, *self.fronts):
             await listener.stop_listening()
         await asyncio.sleep(SWEEP / 2)  # what was in the queue is read before anyone looks for quiet
-        last_answers = start + self.conf.limits.drain
+        last_answers = start + self.conf.limits.drain_timeout
         while not self.quiet() and monotonic() < last_answers + FLUSH:
             if monotonic() > last_answers:
                 self.exchange.finish_all()
@@ -393,7 +400,7 @@
         self,
         address: tuple[str, int],
         connect: Callable[[SocketStream], Connection | Awaitable[Connection | None]],
-        clients: Clients,
+        clients: PlatformFront,
         public: bool = False,  # its callers make way for others; the staff's do not
     ) -> None:
         super().__init__()
@@ -404,10 +411,10 @@
 
     def admit(self) -> bool:
         if len(self.tasks) >= HTTP:
-            return make_room(self.all, now_us())
+            return evict_one(self.all, now_us())
         return self.clients.admit()
 
-    def welcome(self, sock: socket.socket) -> None:
+    def add_connection(self, sock: socket.socket) -> None:
         task = asyncio.create_task(self._one(SocketStream(sock, "client", self.failing_since)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -428,7 +435,7 @@
             connection.close()
 
     def leave(self) -> None:
-        late = now_us() - FIRST
+        late = now_us() - FIRST_REQUEST_GRACE_US
         for connection in [c for c in self.all if c.leaving() and c.idle() and (c.spoke or c.used < late)]:
             connection.close()
 
@@ -450,7 +457,7 @@
     while True:
         try:
             return config.load(os.environ)
-        except config.NotReadNow:
+        except config.ConfigTemporarilyUnreadable:
             if monotonic() > end:
                 raise
         time.sleep(SWEEP)
