--- a/benchmarks/identities.py
+++ b/benchmarks/identities.py
@@ -20,12 +20,12 @@
 
 import uvloop
 
-from onyxpulley.spiffe.peers import Rules
-from onyxpulley.spiffe.setup import Setup
-from onyxpulley.spiffe.sources import Files
-from onyxpulley.spiffe.trust import Keeper, Verified
+from onyxpulley.spiffe.files import IdentityFiles
+from onyxpulley.spiffe.manager import IdentityManager, VerifiedServerStream
+from onyxpulley.spiffe.peers import ConnectionLifetime
+from onyxpulley.spiffe.settings import IdentitySettings
 from onyxpulley.wires import Listed, Trust, Wire
-from tests.issuer import Domain
+from tests.issuer import Authority
 
 ASK = b"fetch 9b1f03aa5c7e2d41 cls=page-file,item=7f3a9c21e0b4d655,chunk=0,limit=2000,fetch=p0 0\r\n\r\n"
 ANSWER = b"9b1f03aa5c7e2d41 data version=aa 40000\r\n" + b"x" * 40_000 + b"\r\n"
@@ -81,7 +81,7 @@
     await ask(wire, room)
     wire.close()
     for _ in range(connections):
-        if isinstance(trust, Keeper) and not keep:
+        if isinstance(trust, IdentityManager) and not keep:
             trust.sessions.clear()
         at, used = time.perf_counter(), time.process_time()
         wire = await opened(trust, port)
@@ -92,7 +92,7 @@
     wire = await opened(trust, port)
     used = time.process_time()
     for _ in range(requests):
-        assert not isinstance(wire, Verified) or wire.takes()
+        assert not isinstance(wire, VerifiedServerStream) or wire.takes()
         await ask(wire, room)
     each = (time.process_time() - used) / requests
     wire.close()
@@ -122,22 +122,26 @@
     parser.add_argument("--requests", type=int, default=2000)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as name:
-        folder, domain = Path(name), Domain()
-        domain.write(folder, "router", "spiffe://letra.example/router")
-        domain.write(folder, "box", "spiffe://letra.example/box/c0")
+        folder, domain = Path(name), Authority()
+        domain.write_svid(folder, "router", "spiffe://letra.example/router")
+        domain.write_svid(folder, "box", "spiffe://letra.example/box/c0")
         domain.write_bundle(folder / "bundle.pem")
-        files = Files(folder / "router.pem", folder / "router.key", folder / "bundle.pem", domain.name)
-        setup = Setup(domain.name, files, "", True, "spiffe://letra.example/box/{id}", None, Rules(), None)
+        files = IdentityFiles(
+            folder / "router.pem", folder / "router.key", folder / "bundle.pem", domain.name
+        )
+        setup = IdentitySettings(
+            domain.name, files, "", True, "spiffe://letra.example/box/{id}", None, ConnectionLifetime(), None
+        )
         rows: dict[str, dict[str, float]] = {}
         for what, plain, keep in (("plain", True, True), ("full", False, False), ("resumed", False, True)):
-            trust: Trust = Listed() if plain else Keeper(setup)
+            trust: Trust = Listed() if plain else IdentityManager(setup)
             ours, theirs = multiprocessing.Pipe()
             process = multiprocessing.Process(target=box, args=(theirs, name, plain), daemon=True)
             process.start()
             port = ours.recv()
             sizes = (min(1000, options.connections), min(100_000, options.requests))
             rows[what] = uvloop.run(measure(trust, port, *sizes, keep))
-            if isinstance(trust, Keeper):
+            if isinstance(trust, IdentityManager):
                 rows[what] |= {f"handshakes {kind}": float(n) for kind, n in trust.handshakes.items()}
             ours.send(None)
             process.join(5)
--- a/onyxpulley/http.py
+++ b/onyxpulley/http.py
@@ -18,25 +18,27 @@
 from onyxpulley.listeners import SILENT
 from onyxpulley.streams import Stream
 
-URL = 8_192
-HEADERS = 16_384
-PIPELINED = 4  # requests waiting on one connection
-STALL = 10.0
-IDLE = 30.0  # seconds a connection may stay without a request, once it has made one
-WHOLE = 5.0  # seconds in which a request is whole, from its first byte; the first one from connecting
+MAX_URL_LENGTH = 8_192
+MAX_HEADER_BYTES = 16_384
+MAX_PIPELINED = 4  # requests waiting on one connection
+WRITE_TIMEOUT = 10.0
+IDLE_TIMEOUT = 30.0  # seconds a connection may stay without a request, once it has made one
+# Seconds within which a whole request must arrive, counted from its first byte; for the first request of a
+# connection, from the time the connection was accepted.
+REQUEST_TIMEOUT = 5.0
 
 
 @dataclass(slots=True)
-class Call:
-    """One HTTP request, whole. `arrived`: when its last byte came."""
+class HttpRequest:
+    """One HTTP request, whole. `received_at`: when its last byte came."""
 
     method: str = ""
     target: str = ""
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    arrived: int = 0
-    keep: bool = True
-    problem: HTTPStatus | None = None
+    received_at: int = 0
+    keep_alive: bool = True
+    error_status: HTTPStatus | None = None
     out_of_touch: Callable[[], bool] | None = None  # may its caller have left unseen?
 
 
@@ -47,96 +49,102 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-def told(status: HTTPStatus, row: Any, **headers: str) -> Response:
+def json_response(status: HTTPStatus, row: Any, **headers: str) -> Response:
     body = json.dumps(row, separators=(",", ":")).encode() + b"\n"
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return Response(status, body, {"Content-Type": "application/json", **named})
 
 
-Handler = Callable[[Call], Awaitable[Response]]
+Handler = Callable[[HttpRequest], Awaitable[Response]]
 
 
 class Connection:
-    """One connection: reads ahead, answers in order, and gives up the running call when the client leaves."""
+    """One server-side HTTP/1.1 connection.
 
-    def __init__(self, stream: Stream, handler: Handler, most_body: int) -> None:
-        self.stream, self.handler, self.most_body = stream, handler, most_body
+    Reads requests ahead, answers them in order, and cancels the running request when the client disconnects.
+    """
+
+    def __init__(self, stream: Stream, handler: Handler, max_body: int) -> None:
+        self.stream, self.handler, self.max_body = stream, handler, max_body
         self.parser = httptools.HttpRequestParser(self)
-        self.call = Call()
+        self.request = HttpRequest()
         self.size, self.parts = 0, list[bytes]()
-        self.calls: deque[Call] = deque()
+        self.pending: deque[HttpRequest] = deque()
         self.wake = asyncio.Event()
         self.closed = False
         self.busy = False
-        self.used = self.began = now_us()  # `began`: since when a request is awaited, 0: none is
-        self.spoke = self.heard = False  # a whole request came, anything at all
+        # `awaiting_since` is when the connection began to wait for a whole request; 0 while none is awaited.
+        self.last_activity = self.awaiting_since = now_us()
+        self.had_request = self.received_data = False  # a whole request came, anything at all
         self.tasks: list[asyncio.Task[Any]] = []
-        self.leaving: Callable[[], bool] = lambda: False  # each answer is then the connection's last
+        self.draining: Callable[[], bool] = lambda: False  # each answer is then the connection's last
 
-    # ---- What httptools calls
+    # ---- Callbacks of httptools
     def on_message_begin(self) -> None:
-        self.call, self.size, self.parts = Call(), 0, []
-        self.began = self.began or now_us()
+        self.request, self.size, self.parts = HttpRequest(), 0, []
+        self.awaiting_since = self.awaiting_since or now_us()
 
     def on_url(self, data: bytes) -> None:
-        self.call.target += data.decode("ascii")
-        if len(self.call.target) > URL:
-            self.call.problem = self.call.problem or HTTPStatus.REQUEST_URI_TOO_LONG
-            self.call.target = self.call.target[:URL]
+        self.request.target += data.decode("ascii")
+        if len(self.request.target) > MAX_URL_LENGTH:
+            self.request.error_status = self.request.error_status or HTTPStatus.REQUEST_URI_TOO_LONG
+            self.request.target = self.request.target[:MAX_URL_LENGTH]
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.size += len(name) + len(value)
-        if self.size > HEADERS:
-            self.call.problem = self.call.problem or HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+        if self.size > MAX_HEADER_BYTES:
+            self.request.error_status = (
+                self.request.error_status or HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+            )
             return
         key = name.decode("latin-1").lower()
-        if key in self.call.headers and key in ("authorization", "host", "content-length"):
-            self.call.problem = HTTPStatus.BAD_REQUEST
-        self.call.headers[key] = value.decode("latin-1")
+        if key in self.request.headers and key in ("authorization", "host", "content-length"):
+            self.request.error_status = HTTPStatus.BAD_REQUEST
+        self.request.headers[key] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
         """A body that is announced too large is answered without being read."""
         self.size = 0
-        length = self.call.headers.get("content-length", "0")
-        if length.isdigit() and int(length) > self.most_body:
-            self.call.problem = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        length = self.request.headers.get("content-length", "0")
+        if length.isdigit() and int(length) > self.max_body:
+            self.request.error_status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
             self.on_message_complete()
 
     def on_body(self, data: bytes) -> None:
         self.size += len(data)
-        if self.size > self.most_body:
-            self.call.problem = self.call.problem or HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        if self.size > self.max_body:
+            self.request.error_status = self.request.error_status or HTTPStatus.REQUEST_ENTITY_TOO_LARGE
             self.parts.clear()
         else:
             self.parts.append(data)
 
     def on_message_complete(self) -> None:
-        call = self.call
-        call.method = self.parser.get_method().decode("ascii")
-        call.body = b"".join(self.parts)
-        call.arrived = self.stream.late_since or now_us()
-        call.out_of_touch = self.stream.out_of_touch
-        call.keep = self.parser.should_keep_alive() and call.problem is None
-        self.calls.append(call)
-        self.spoke, self.began = True, 0
+        request = self.request
+        request.method = self.parser.get_method().decode("ascii")
+        request.body = b"".join(self.parts)
+        request.received_at = self.stream.late_since or now_us()
+        request.out_of_touch = self.stream.out_of_touch
+        request.keep_alive = self.parser.should_keep_alive() and request.error_status is None
+        self.pending.append(request)
+        self.had_request, self.awaiting_since = True, 0
         self.wake.set()
 
     def spare(self) -> bool:
         """Nothing is owed to it, though half a request may be here."""
-        return not self.busy and not self.calls
+        return not self.busy and not self.pending
 
-    def idle(self) -> bool:
-        return self.spare() and not (self.heard and self.began)
+    def is_idle(self) -> bool:
+        return self.spare() and not (self.received_data and self.awaiting_since)
 
     def still(self, now: int) -> int:
-        return (now - self.used) * (1 if self.heard else SILENT)
+        return (now - self.last_activity) * (1 if self.received_data else SILENT)
 
-    def overdue(self) -> bool:
+    def is_overdue(self) -> bool:
         """No whole request for long: bytes that trickle in do not count, nor does silence."""
         now = now_us()
-        if self.began and now - self.began > WHOLE * 1e6:
+        if self.awaiting_since and now - self.awaiting_since > REQUEST_TIMEOUT * 1e6:
             return True
-        return self.spare() and now - self.used > IDLE * 1e6
+        return self.spare() and now - self.last_activity > IDLE_TIMEOUT * 1e6
 
     # ---- Two tasks
     async def run(self) -> None:
@@ -149,11 +157,11 @@
                 got = await self.stream.receive_into(room)
                 if not got:
                     break
-                self.heard, self.used = True, now_us()
+                self.received_data, self.last_activity = True, now_us()
                 self.parser.feed_data(room[:got])
-                if self.calls and self.calls[-1].problem:
-                    await asyncio.sleep(STALL)  # its answer ends the connection, and this task
-                if len(self.calls) > PIPELINED or self.size > 4 * self.most_body + HEADERS:
+                if self.pending and self.pending[-1].error_status:
+                    await asyncio.sleep(WRITE_TIMEOUT)  # its answer ends the connection, and this task
+                if len(self.pending) > MAX_PIPELINED or self.size > 4 * self.max_body + MAX_HEADER_BYTES:
                     break
         except httptools.HttpParserUpgrade:
             pass
@@ -166,7 +174,7 @@
 
     async def _bad(self) -> None:
         """What came is no HTTP: one answer, if none is under way, and the end."""
-        if self.busy or self.calls:
+        if self.busy or self.pending:
             return
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(1.0):
@@ -177,25 +185,31 @@
             while not self.closed:
                 await self.wake.wait()
                 self.wake.clear()
-                while self.calls:
-                    call = self.calls.popleft()
+                while self.pending:
+                    request = self.pending.popleft()
                     self.busy = True
-                    response = Response(call.problem) if call.problem else await self._handle(call)
-                    call.keep = call.keep and not self.leaving()
-                    async with asyncio.timeout(STALL):
-                        await self.stream.send_all(encode(response, call.keep, call.method == "HEAD"))
-                    self.busy, self.used = False, now_us()
-                    if not call.keep:
+                    response = (
+                        Response(request.error_status)
+                        if request.error_status
+                        else await self._handle(request)
+                    )
+                    request.keep_alive = request.keep_alive and not self.draining()
+                    async with asyncio.timeout(WRITE_TIMEOUT):
+                        await self.stream.send_all(
+                            encode(response, request.keep_alive, request.method == "HEAD")
+                        )
+                    self.busy, self.last_activity = False, now_us()
+                    if not request.keep_alive:
                         return
         except (OSError, TimeoutError):
             pass
         finally:
             self.close()
 
-    async def _handle(self, call: Call) -> Response:
+    async def _handle(self, request: HttpRequest) -> Response:
         try:
-            return await self.handler(call)
-        except Exception as problem:  # one bad call must not end the program; its text may hold a token
+            return await self.handler(request)
+        except Exception as problem:  # one bad request must not end the program; its text may hold a token
             logs.say(f"http: {type(problem).__name__} in a call")
             return Response(HTTPStatus.INTERNAL_SERVER_ERROR)
 
--- a/onyxpulley/operator.py
+++ b/onyxpulley/operator_config.py
@@ -10,26 +10,26 @@
 from onyxpulley.admin import ROLES
 from onyxpulley.config import BadConfig, address
 from onyxpulley.incident.keep import Keep
-from onyxpulley.spiffe.ids import BadIdentity, read_domain, read_id
-from onyxpulley.spiffe.peers import Expectations, Rules, read_callers
-from onyxpulley.spiffe.setup import Setup
-from onyxpulley.spiffe.sources import Files
-from onyxpulley.tenants import BadTenant, Tenants, read_tenant
+from onyxpulley.spiffe.files import IdentityFiles
+from onyxpulley.spiffe.ids import InvalidIdentity, read_spiffe_id, read_trust_domain
+from onyxpulley.spiffe.peers import ConnectionLifetime, ExpectedIdentities, read_callers
+from onyxpulley.spiffe.settings import IdentitySettings
+from onyxpulley.tenants import InvalidTenant, Tenants, read_tenant
 
 
 @dataclass(slots=True)
-class Operator:
+class OperatorConfig:
     tenants: Tenants
-    listen: tuple[str, int] | None  # the signed front
-    public: str
-    boxes: frozenset[str]  # the servers that want signatures
-    admin: tuple[str, int] | None
-    allow: dict[str, str]
-    identities: Setup | None
+    signed_listen: tuple[str, int] | None  # the signed front
+    public_url: str
+    signature_boxes: frozenset[str]  # the servers that want signatures
+    admin_listen: tuple[str, int] | None
+    admin_roles: dict[str, str]
+    identities: IdentitySettings | None
     records: Keep | None = None
 
 
-def load(path: Path) -> Operator:
+def load(path: Path) -> OperatorConfig:
     """Raises BadConfig with one clear line."""
     try:
         with path.open("rb") as file:
@@ -39,28 +39,28 @@
         raise BadConfig(f"cannot read {path}: {problem.strerror}") from problem
     except tomllib.TOMLDecodeError as problem:
         raise BadConfig(f"{path}: no TOML: {problem}") from problem
-    except (BadTenant, BadIdentity) as problem:
+    except (InvalidTenant, InvalidIdentity) as problem:
         raise BadConfig(f"{path}: {problem}") from problem
     except (KeyError, TypeError, AttributeError) as problem:
         raise BadConfig(f"{path}: {type(problem).__name__}: {problem}") from problem
 
 
-def only(table: dict[str, Any], what: str, *names: str) -> dict[str, Any]:
+def check_keys(table: dict[str, Any], label: str, *names: str) -> dict[str, Any]:
     unknown = set(table) - set(names)
     if unknown:
-        raise BadConfig(f"{what}: unknown key {sorted(unknown)[0]!r}")
+        raise BadConfig(f"{label}: unknown key {sorted(unknown)[0]!r}")
     return table
 
 
-def _read(table: dict[str, Any], folder: Path) -> Operator:
-    only(table, "operator's file", "signed", "admin", "tenants", "identities", "records")
+def _read(table: dict[str, Any], folder: Path) -> OperatorConfig:
+    check_keys(table, "operator's file", "signed", "admin", "tenants", "identities", "records")
     tenants = Tenants()
     for row in table.get("tenants", []):
-        if row.get("name") in tenants.all:
+        if row.get("name") in tenants.by_name:
             raise BadConfig(f"tenant {row['name']} is there twice")
         tenants.put(read_tenant(row))
-    signed = only(table.get("signed", {}), "signed", "listen", "public", "signature_boxes")
-    admin = only(
+    signed = check_keys(table.get("signed", {}), "signed", "listen", "public", "signature_boxes")
+    admin = check_keys(
         table.get("admin", {}), "admin", "listen", "certificate", "key", "bundle", "trust_domain", "allow"
     )
     identities = _identities(table.get("identities"), folder)
@@ -71,18 +71,18 @@
         raise BadConfig("admin: certificate, key, bundle and trust_domain stand in [identities] alone")
     allow: dict[str, str] = {}
     for row in admin.get("allow", []):
-        only(row, "admin.allow", "id", "role")
+        check_keys(row, "admin.allow", "id", "role")
         if row["role"] not in ROLES:
             raise BadConfig(f"admin.allow: role is one of {', '.join(ROLES)}")
-        caller = read_id(row["id"], "admin.allow")
+        caller = read_spiffe_id(row["id"], "admin.allow")
         assert identities is not None
-        if caller.domain not in {
-            identities.domain,
+        if caller.trust_domain not in {
+            identities.trust_domain,
             *(identities.files.federated if identities.files else ()),
         }:
             raise BadConfig(f"admin.allow: {row['id']} is of a trust domain that is not named")
         allow[row["id"]] = row["role"]
-    return Operator(
+    return OperatorConfig(
         tenants,
         address(signed["listen"], "signed.listen") if signed else None,
         str(signed["public"]) if signed else "",
@@ -97,7 +97,7 @@
 def _records(table: dict[str, Any] | None, folder: Path) -> Keep | None:
     if table is None:
         return None
-    only(table, "records", "folder", "file_mb", "files")
+    check_keys(table, "records", "folder", "file_mb", "files")
     size, files = table.get("file_mb", 64), table.get("files", 16)
     if not isinstance(size, int | float) or not 0.01 <= size <= 1024:
         raise BadConfig("records: file_mb is a number from 0.01 to 1024")
@@ -113,41 +113,43 @@
     return float(value)
 
 
-def _identities(table: dict[str, Any] | None, folder: Path) -> Setup | None:
+def _identities(table: dict[str, Any] | None, folder: Path) -> IdentitySettings | None:
     if table is None:
         return None
-    what = "identities"
-    only(
-        table, what, "trust_domain", "workload_api", "hint", "certificate", "key", "bundle", "federated",
+    label = "identities"
+    check_keys(
+        table, label, "trust_domain", "workload_api", "hint", "certificate", "key", "bundle", "federated",
         "skew_s", "servers", "callers",
     )  # fmt: skip
-    domain = read_domain(table["trust_domain"], f"{what}.trust_domain")
+    domain = read_trust_domain(table["trust_domain"], f"{label}.trust_domain")
     agent = str(table.get("workload_api", ""))
     files = None
     if bool(agent) == ("certificate" in table):
-        raise BadConfig(f"{what}: either workload_api, or certificate, key and bundle")
+        raise BadConfig(f"{label}: either workload_api, or certificate, key and bundle")
     if agent:
         if not agent.startswith("unix:"):
-            address(agent, f"{what}.workload_api")
+            address(agent, f"{label}.workload_api")
         if "federated" in table:
-            raise BadConfig(f"{what}: federated bundles come from the Workload API")
+            raise BadConfig(f"{label}: federated bundles come from the Workload API")
     else:
         paths = [folder / table[name] for name in ("certificate", "key", "bundle")]
         federated = table.get("federated", {})
-        other = {read_domain(n, f"{what}.federated"): folder / path for n, path in federated.items()}
+        other = {read_trust_domain(n, f"{label}.federated"): folder / path for n, path in federated.items()}
         if domain in other:
-            raise BadConfig(f"{what}.federated: {domain} is the own trust domain")
-        files = Files(paths[0], paths[1], paths[2], domain, other)
-    servers = only(
-        table.get("servers", {}), f"{what}.servers", "expect", "entries", "renew_after_s", "end_after_s"
+            raise BadConfig(f"{label}.federated: {domain} is the own trust domain")
+        files = IdentityFiles(paths[0], paths[1], paths[2], domain, other)
+    servers = check_keys(
+        table.get("servers", {}), f"{label}.servers", "expect", "entries", "renew_after_s", "end_after_s"
     )
     expect, entries = str(servers.get("expect", "")), servers.get("entries")
     if servers and not (expect or entries):
-        raise BadConfig(f"{what}.servers: expect, or entries, or both")
-    Expectations(expect)  # a bad template is said here
-    rules = Rules(_seconds(servers, "renew_after_s", 3600.0), _seconds(servers, "end_after_s", 3.0, 60.0))
+        raise BadConfig(f"{label}.servers: expect, or entries, or both")
+    ExpectedIdentities(expect)  # a bad template is said here
+    rules = ConnectionLifetime(
+        _seconds(servers, "renew_after_s", 3600.0), _seconds(servers, "end_after_s", 3.0, 60.0)
+    )
     callers = table.get("callers")
-    return Setup(
+    return IdentitySettings(
         domain,
         files,
         agent,
@@ -155,7 +157,7 @@
         expect,
         folder / entries if entries else None,
         rules,
-        read_callers(callers, f"{what}.callers") if callers is not None else None,
+        read_callers(callers, f"{label}.callers") if callers is not None else None,
         str(table.get("hint", "")),
         _seconds(table, "skew_s", 0.0, 300.0),
     )
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -34,8 +34,8 @@
 
     from onyxpulley.http import Connection
     from onyxpulley.incident.recorder import Recorder
-    from onyxpulley.operator import Operator
-    from onyxpulley.spiffe.trust import Keeper
+    from onyxpulley.operator_config import OperatorConfig
+    from onyxpulley.spiffe.manager import IdentityManager
 
 LINGER = 0.8  # seconds after SIGTERM or PAUSE in which new connections may still come
 REFUSE = 1.8  # seconds after which clients that still ask on their connection are refused
@@ -60,10 +60,10 @@
 
 
 class Program:
-    def __init__(self, conf: config.Config, operator: Operator | None = None) -> None:
+    def __init__(self, conf: config.Config, operator: OperatorConfig | None = None) -> None:
         self.conf, self.phase, self.operator = conf, Phase.STARTING, operator
         if operator is not None:
-            conf.limits.signature_boxes = operator.boxes
+            conf.limits.signature_boxes = operator.signature_boxes
         self.facade = Facade(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
         self.servers = Servers(conf.limits)
         self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copies))
@@ -81,7 +81,7 @@
         self.reloads = {"applied": 0, "rejected": 0}
         self.clients.beside = lambda: sum(len(front.tasks) for front in self.fronts)
         self.clients.others = lambda: [c for f in self.fronts if f.public for c in f.all]
-        self.keeper: Keeper | None = None  # of identities, where the operator's file has some
+        self.keeper: IdentityManager | None = None  # of identities, where the operator's file has some
         self.tasks: list[asyncio.Task[None]] = []
         self.recorder: Recorder | None = None
 
@@ -94,7 +94,7 @@
 
     def fit(self) -> bool:
         """Takes new work: serving, and able to show the servers who it is."""
-        return self.phase is Phase.SERVING and (self.keeper is None or self.keeper.ready())
+        return self.phase is Phase.SERVING and (self.keeper is None or self.keeper.is_ready())
 
     async def run(self) -> int:
         loop = asyncio.get_running_loop()
@@ -252,35 +252,41 @@
             self.clients.settle()
 
     def quiet(self) -> bool:
-        return self.clients.quiet() and all(c.idle() for f in self.fronts for c in f.all)
+        return self.clients.quiet() and all(c.is_idle() for f in self.fronts for c in f.all)
 
     def _operated(self) -> None:
         """The signed front and the administration API, where the operator's file sets them up."""
         if self.operator is None:
             return
-        from onyxpulley.admin import Admin
-        from onyxpulley.signed import Signed
-        from onyxpulley.spiffe.ids import BadIdentity
+        from onyxpulley.admin import AdminApi
+        from onyxpulley.signed_front import SignedFront
+        from onyxpulley.spiffe.ids import InvalidIdentity
 
         operator = self.operator
         try:
             self._identified(operator)
-            if operator.listen is not None:
-                signed = Signed(
-                    operator.public, operator.tenants, self.exchange, self.facade, bool(operator.boxes)
+            if operator.signed_listen is not None:
+                signed = SignedFront(
+                    operator.public_url,
+                    operator.tenants,
+                    self.exchange,
+                    self.facade,
+                    bool(operator.signature_boxes),
                 )
                 callers = operator.identities.callers if operator.identities is not None else None
                 if callers is not None and self.keeper is not None:
-                    signed.keeper, signed.callers = self.keeper, callers
-                self.fronts.append(Front(operator.listen, signed.connection, self.clients, public=True))
-                signed.fit = lambda: self.clients.fit
-                signed.leaving = lambda: self.clients.leaving
-            if operator.admin is not None and self.keeper is not None:
-                admin = Admin(operator.tenants, self.keeper, operator.allow, self.status)
-                self.fronts.append(Front(operator.admin, admin.connection, self.clients))
+                    signed.identity_manager, signed.allowed_callers = self.keeper, callers
+                self.fronts.append(
+                    Front(operator.signed_listen, signed.open_connection, self.clients, public=True)
+                )
+                signed.is_ready = lambda: self.clients.fit
+                signed.draining = lambda: self.clients.leaving
+            if operator.admin_listen is not None and self.keeper is not None:
+                admin = AdminApi(operator.tenants, self.keeper, operator.admin_roles, self.status)
+                self.fronts.append(Front(operator.admin_listen, admin.open_connection, self.clients))
         except ImportError as problem:
             raise config.BadConfig(missing(problem, "identities")) from problem
-        except (OSError, BadIdentity) as problem:
+        except (OSError, InvalidIdentity) as problem:
             what = "cannot listen" if isinstance(problem, OSError) else "identity"
             raise config.BadConfig(f"operator's file: {what}: {problem}") from problem
 
@@ -305,23 +311,29 @@
 
             self.recorder.tally.event(Kind(kind), cause=cause, value=value)
 
-    def _identified(self, operator: Operator) -> None:
-        """Who this router is and whom it trusts. Raises BadIdentity."""
+    def _identified(self, operator: OperatorConfig) -> None:
+        """Who this router is and whom it trusts. Raises InvalidIdentity."""
         if operator.identities is None:
             return
-        from onyxpulley.spiffe.trust import Keeper
+        from onyxpulley.spiffe.manager import IdentityManager
 
         setup = operator.identities
-        self.keeper = keeper = Keeper(setup)
-        if setup.servers:
+        self.keeper = keeper = IdentityManager(setup)
+        if setup.verify_servers:
             self.servers.trust = keeper
-        if setup.agent:
-            from onyxpulley.spiffe.pace import Pace
-            from onyxpulley.spiffe.workload import Agent
+        if setup.agent_address:
+            from onyxpulley.spiffe.backoff import Backoff
+            from onyxpulley.spiffe.workload import WorkloadApiClient
 
             luck = random.Random(self.conf.seed).random
-            keeper.agent = Agent(setup.agent, Pace(luck), keeper.take, keeper.left, keeper.say)
-            self.tasks.append(asyncio.create_task(keeper.agent.follow()))
+            keeper.workload_api = WorkloadApiClient(
+                setup.agent_address,
+                Backoff(luck),
+                keeper.apply_agent_update,
+                keeper.seconds_left,
+                keeper.log_event,
+            )
+            self.tasks.append(asyncio.create_task(keeper.workload_api.follow()))
 
     def status(self) -> dict[str, Any]:
         return {
@@ -419,12 +431,14 @@
             self.all.discard(connection)
 
     def sweep(self) -> None:
-        for connection in [c for c in self.all if c.overdue()]:
+        for connection in [c for c in self.all if c.is_overdue()]:
             connection.close()
 
     def leave(self) -> None:
         late = now_us() - FIRST
-        for connection in [c for c in self.all if c.leaving() and c.idle() and (c.spoke or c.used < late)]:
+        for connection in [
+            c for c in self.all if c.draining() and c.is_idle() and (c.had_request or c.last_activity < late)
+        ]:
             connection.close()
 
     def close(self) -> None:
@@ -433,7 +447,7 @@
             connection.close()
 
 
-async def serve(conf: config.Config, operator: Operator | None) -> NoReturn:
+async def serve(conf: config.Config, operator: OperatorConfig | None) -> NoReturn:
     """Ends the process with the program's exit code, while the loop's signal handlers still stand. Behind the
     loop other threads would take a late SIGTERM or SIGHUP and die of it, and nothing is left to be done."""
     os._exit(await Program(conf, operator).run())
@@ -456,7 +470,7 @@
         conf = load_config()
         operator = None
         if os.environ.get("ONYXPULLEY_OPERATOR"):
-            from onyxpulley.operator import load  # the platform's front needs none of it
+            from onyxpulley.operator_config import load  # the platform's front needs none of it
 
             operator = load(Path(os.environ["ONYXPULLEY_OPERATOR"]))
         uvloop.run(serve(conf, operator))
--- a/onyxpulley/spiffe/sources.py
+++ b/onyxpulley/spiffe/files.py
@@ -11,37 +11,37 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import serialization
 
-from onyxpulley.spiffe.ids import BadIdentity, read_id
-from onyxpulley.spiffe.peers import Expectations
-from onyxpulley.spiffe.state import Update
+from onyxpulley.spiffe.ids import InvalidIdentity, read_spiffe_id
+from onyxpulley.spiffe.peers import ExpectedIdentities
+from onyxpulley.spiffe.store import IdentityUpdate
 from onyxpulley.spiffe.svids import Bundle, read_bundle, read_chain, read_svid
 
-MOST = 4_000_000  # bytes of one file
+MAX_FILE_BYTES = 4_000_000  # bytes of one file
 
 
-def read(path: Path, what: str) -> bytes:
+def read_file(path: Path, label: str) -> bytes:
     try:
         data = path.read_bytes()
     except OSError as problem:
-        raise BadIdentity(f"{what}: {path.name}: {problem.strerror}") from problem
-    if len(data) > MOST:
-        raise BadIdentity(f"{what}: {path.name}: larger than {MOST} bytes")
+        raise InvalidIdentity(f"{label}: {path.name}: {problem.strerror}") from problem
+    if len(data) > MAX_FILE_BYTES:
+        raise InvalidIdentity(f"{label}: {path.name}: larger than {MAX_FILE_BYTES} bytes")
     return data
 
 
-def certificates(path: Path, what: str) -> list[x509.Certificate]:
+def read_certificates(path: Path, label: str) -> list[x509.Certificate]:
     try:
-        return x509.load_pem_x509_certificates(read(path, what))
+        return x509.load_pem_x509_certificates(read_file(path, label))
     except ValueError as problem:
-        raise BadIdentity(f"{what}: {path.name}: no PEM certificates") from problem
+        raise InvalidIdentity(f"{label}: {path.name}: no PEM certificates") from problem
 
 
-class Changed:
+class FileChangeDetector:
     """Whether any of some files is another one than at the last look."""
 
     def __init__(self, paths: Sequence[Path]) -> None:
         self.paths = paths
-        self.stamp = self._stamp()
+        self.last_state = self._stamp()
 
     def _stamp(self) -> list[object]:
         found: list[object] = []
@@ -55,68 +55,70 @@
 
     def __call__(self) -> bool:
         stamp = self._stamp()
-        if stamp == self.stamp:
+        if stamp == self.last_state:
             return False
-        self.stamp = stamp
+        self.last_state = stamp
         return True
 
 
 @dataclass(frozen=True, slots=True)
-class Files:
+class IdentityFiles:
     """An SVID, its key, and bundles in PEM."""
 
     certificate: Path
     key: Path
     bundle: Path
-    domain: str
+    trust_domain: str
     federated: Mapping[str, Path] = field(default_factory=dict)
 
     @property
     def paths(self) -> list[Path]:
         return [self.certificate, self.key, self.bundle, *self.federated.values()]
 
-    def load(self) -> Update:
-        """Raises BadIdentity."""
-        chain = read_chain(certificates(self.certificate, "certificate"), "certificate")
+    def load(self) -> IdentityUpdate:
+        """Raises InvalidIdentity."""
+        chain = read_chain(read_certificates(self.certificate, "certificate"), "certificate")
         try:
-            key = serialization.load_pem_private_key(read(self.key, "key"), None)
+            key = serialization.load_pem_private_key(read_file(self.key, "key"), None)
         except (ValueError, TypeError) as problem:
-            raise BadIdentity(f"key: {self.key.name}: no PEM private key") from problem
+            raise InvalidIdentity(f"key: {self.key.name}: no PEM private key") from problem
         svid = read_svid(chain, key, "certificate")
-        bundles = {self.domain: self._bundle(self.domain, self.bundle)}
+        bundles = {self.trust_domain: self._bundle(self.trust_domain, self.bundle)}
         for domain, path in self.federated.items():
             bundles[domain] = self._bundle(domain, path)
-        return Update((svid,), bundles)
+        return IdentityUpdate((svid,), bundles)
 
     @staticmethod
     def _bundle(domain: str, path: Path) -> Bundle:
-        return read_bundle(domain, certificates(path, "bundle"))
+        return read_bundle(domain, read_certificates(path, "bundle"))
 
 
-def read_table(path: Path, what: str) -> dict[str, Any]:
+def read_table(path: Path, label: str) -> dict[str, Any]:
     try:
-        return tomllib.loads(read(path, what).decode())
+        return tomllib.loads(read_file(path, label).decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise BadIdentity(f"{what}: {path.name}: no TOML: {problem}") from problem
+        raise InvalidIdentity(f"{label}: {path.name}: no TOML: {problem}") from problem
 
 
-def read_entries(template: str, path: Path | None) -> Expectations:
+def read_entries(template: str, path: Path | None) -> ExpectedIdentities:
     """The operator's list of boxes: `[boxes]` has the id of each that is expected at all, and its identity
     where the template does not tell it; `revoked` names identities that nobody may have any more."""
     if path is None:
-        return Expectations(template)
+        return ExpectedIdentities(template)
     table = read_table(path, "entries")
     unknown = set(table) - {"boxes", "revoked"}
     if unknown:
-        raise BadIdentity(f"entries: {path.name}: unknown key {sorted(unknown)[0]!r}")
+        raise InvalidIdentity(f"entries: {path.name}: unknown key {sorted(unknown)[0]!r}")
     boxes, revoked = table.get("boxes", {}), table.get("revoked", [])
     if not isinstance(boxes, dict) or not isinstance(revoked, list):
-        raise BadIdentity(f"entries: {path.name}: boxes is a table, revoked a list")
+        raise InvalidIdentity(f"entries: {path.name}: boxes is a table, revoked a list")
     named = {}
     for uid, text in boxes.items():
         if not isinstance(text, str) or (not text and not template):
-            raise BadIdentity(f"entries: {path.name}: boxes.{uid} names no SPIFFE ID")
+            raise InvalidIdentity(f"entries: {path.name}: boxes.{uid} names no SPIFFE ID")
         if text:
-            named[uid] = read_id(text, f"entries: boxes.{uid}")
-    gone = frozenset(read_id(str(text), f"entries: revoked {no}") for no, text in enumerate(revoked, 1))
-    return Expectations(template, named, frozenset(boxes), gone)
+            named[uid] = read_spiffe_id(text, f"entries: boxes.{uid}")
+    gone = frozenset(
+        read_spiffe_id(str(text), f"entries: revoked {no}") for no, text in enumerate(revoked, 1)
+    )
+    return ExpectedIdentities(template, named, frozenset(boxes), gone)
--- a/onyxpulley/spiffe/tls.py
+++ b/onyxpulley/spiffe/tls.py
@@ -8,7 +8,7 @@
 from cryptography import x509
 from OpenSSL import SSL
 
-from onyxpulley.spiffe.ids import BadIdentity
+from onyxpulley.spiffe.ids import InvalidIdentity
 from onyxpulley.spiffe.svids import Chain, Svid, read_chain
 from onyxpulley.streams import Data, SocketStream
 
@@ -19,7 +19,7 @@
     """Anything that TLS itself has to complain of."""
 
 
-def context_of(svid: Svid, server: bool) -> SSL.Context:
+def make_context(svid: Svid, server: bool) -> SSL.Context:
     """Shows this SVID and takes any certificate for which the peer proves that it has the key. It is no check
     of who that is: `Peers` does that before a byte of a request is written or read, with the bundle of the
     peer's own trust domain, which OpenSSL's one store cannot tell from another's."""
@@ -30,7 +30,7 @@
     for cert in svid.chain.certs[1:]:
         context.add_extra_chain_cert(cert)
     context.use_privatekey(svid.key)
-    context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, _seen)
+    context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, _accept_certificate)
     if server:  # a resumed session shows no certificate: callers show theirs each time
         context.set_session_cache_mode(SSL.SESS_CACHE_OFF)
         context.set_options(SSL.OP_NO_TICKET)
@@ -39,23 +39,23 @@
     return context
 
 
-def _seen(connection: SSL.Connection, cert: object, error: int, depth: int, ok: int) -> bool:
+def _accept_certificate(connection: SSL.Connection, cert: object, error: int, depth: int, ok: int) -> bool:
     """OpenSSL calls it in a full handshake, and not where a session is resumed."""
     connection.set_app_data(True)
     return True
 
 
-class Tls:
+class TlsStream:
     """One side of a TLS connection. Readers and one writer may work at the same time."""
 
     def __init__(self, plain: SocketStream, context: SSL.Context, server: bool) -> None:
         self.plain = plain
-        self.tls = SSL.Connection(context, None)
-        self.tls.set_app_data(False)
+        self.connection = SSL.Connection(context, None)
+        self.connection.set_app_data(False)
         if server:
-            self.tls.set_accept_state()
+            self.connection.set_accept_state()
         else:
-            self.tls.set_connect_state()
+            self.connection.set_connect_state()
         self.room = memoryview(bytearray(CHUNK))
         self.sending = asyncio.Lock()
 
@@ -68,25 +68,25 @@
 
     async def handshake(self) -> None:
         """Raises OSError; a TimeoutError is the caller's."""
-        await self._step(self.tls.do_handshake)
+        await self._step(self.connection.do_handshake)
 
-    def full(self) -> bool:
+    def is_full_handshake(self) -> bool:
         """The peer showed its certificate on this very connection."""
-        return bool(self.tls.get_app_data())
+        return bool(self.connection.get_app_data())
 
-    def shown(self) -> Chain:
-        """Raises BadIdentity."""
-        certs: list[x509.Certificate] = self.tls.get_peer_cert_chain(as_cryptography=True) or []
-        leaf = self.tls.get_peer_certificate(as_cryptography=True)
+    def peer_chain(self) -> Chain:
+        """Raises InvalidIdentity."""
+        certs: list[x509.Certificate] = self.connection.get_peer_cert_chain(as_cryptography=True) or []
+        leaf = self.connection.get_peer_certificate(as_cryptography=True)
         if leaf is None:
-            raise BadIdentity("SVID: no certificate")
+            raise InvalidIdentity("SVID: no certificate")
         return read_chain([leaf, *(c for c in certs if c != leaf)])
 
     async def _flush(self) -> None:
         async with self.sending:
             while True:
                 try:
-                    data = self.tls.bio_read(4 * CHUNK)
+                    data = self.connection.bio_read(4 * CHUNK)
                 except SSL.WantReadError:
                     return
                 await self.plain.send_all(data)
@@ -94,9 +94,9 @@
     async def _more(self) -> bool:
         got = await self.plain.receive_into(self.room)
         if got:
-            self.tls.bio_write(bytes(self.room[:got]))
+            self.connection.bio_write(bytes(self.room[:got]))
         else:
-            self.tls.bio_shutdown()
+            self.connection.bio_shutdown()
         return bool(got)
 
     async def _step(self, step: Callable[[], object]) -> None:
@@ -111,12 +111,12 @@
                     raise ConnectionResetError("ended in the handshake") from None
             except SSL.Error as problem:
                 await self._flush()  # the alert that tells the peer
-                raise TlsError(reason(problem)) from None
+                raise TlsError(error_text(problem)) from None
 
     async def receive_into(self, room: memoryview) -> int:
         while True:
             try:
-                return self.tls.recv_into(room, len(room))
+                return self.connection.recv_into(room, len(room))
             except SSL.WantReadError:
                 await self._flush()
                 if not await self._more():
@@ -124,16 +124,16 @@
             except SSL.ZeroReturnError:
                 return 0
             except SSL.Error as problem:
-                raise TlsError(reason(problem)) from None
+                raise TlsError(error_text(problem)) from None
 
     def send_now(self, data: Data) -> int:
         """Encrypts a first part where the socket has room; `send_all` sees to it that it leaves."""
         if self.sending.locked() or self.plain.would_block():
             return 0
         try:
-            return self.tls.send(memoryview(data)[:CHUNK])
+            return self.connection.send(memoryview(data)[:CHUNK])
         except SSL.Error as problem:
-            raise TlsError(reason(problem)) from None
+            raise TlsError(error_text(problem)) from None
 
     async def writable(self) -> None:
         async with self.sending:
@@ -144,18 +144,18 @@
         view = memoryview(data)
         while view:
             try:
-                view = view[self.tls.send(view[:CHUNK]) :]
+                view = view[self.connection.send(view[:CHUNK]) :]
             except SSL.Error as problem:
-                raise TlsError(reason(problem)) from None
+                raise TlsError(error_text(problem)) from None
             await self._flush()
 
     def close(self) -> None:
         """Guards the session: OpenSSL takes it for spoilt where a connection just stops."""
-        self.tls.set_shutdown(SSL.SENT_SHUTDOWN | SSL.RECEIVED_SHUTDOWN)
+        self.connection.set_shutdown(SSL.SENT_SHUTDOWN | SSL.RECEIVED_SHUTDOWN)
         self.plain.close()
 
 
-def reason(problem: SSL.Error) -> str:
+def error_text(problem: SSL.Error) -> str:
     """OpenSSL's words, which name no keys."""
     if isinstance(problem, SSL.SysCallError):
         return "connection ended"
--- a/onyxpulley/spiffe/workload.py
+++ b/onyxpulley/spiffe/workload.py
@@ -13,14 +13,24 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message, message_factory
 
 from onyxpulley.logs import Say
-from onyxpulley.spiffe.ids import BadIdentity, read_domain, read_id
-from onyxpulley.spiffe.pace import Pace
-from onyxpulley.spiffe.state import Update
-from onyxpulley.spiffe.svids import Bundle, Svid, der_chain, read_bundle, read_chain, read_svid, with_crls
-
-METHOD = "/SpiffeWorkloadAPI/FetchX509SVID"
-HEADER = (("workload.spiffe.io", "true"),)  # without it an agent must refuse: no web page can send it
-MOST = 4_000_000  # bytes of one message
+from onyxpulley.spiffe.backoff import Backoff
+from onyxpulley.spiffe.ids import InvalidIdentity, read_spiffe_id, read_trust_domain
+from onyxpulley.spiffe.store import IdentityUpdate
+from onyxpulley.spiffe.svids import (
+    Bundle,
+    Svid,
+    read_bundle,
+    read_chain,
+    read_der_certificates,
+    read_svid,
+    with_crls,
+)
+
+FETCH_METHOD = "/SpiffeWorkloadAPI/FetchX509SVID"
+SECURITY_HEADER = (
+    ("workload.spiffe.io", "true"),
+)  # without it an agent must refuse: no web page can send it
+MAX_MESSAGE_BYTES = 4_000_000  # bytes of one message
 FIELD = descriptor_pb2.FieldDescriptorProto
 
 
@@ -54,53 +64,61 @@
     )
 
 
-Request, Response = _messages()
+X509SvidRequest, X509SvidResponse = _messages()
 
 
-def parse(data: bytes) -> Any:
+def parse_response(data: bytes) -> Any:
     try:
-        return Response.FromString(data)
+        return X509SvidResponse.FromString(data)
     except message.DecodeError as problem:
-        raise BadIdentity("message: cannot be read") from problem
+        raise InvalidIdentity("message: cannot be read") from problem
 
 
-def read_response(response: Any) -> Update:
-    """Raises BadIdentity, which names the field."""
+def read_response(response: Any) -> IdentityUpdate:
+    """Raises InvalidIdentity, which names the field."""
     svids: list[Svid] = []
     bundles: dict[str, Bundle] = {}
     for no, row in enumerate(response.svids, 1):
-        what = f"svids[{no}]"
-        chain = read_chain(der_chain(row.x509_svid, f"{what}.x509_svid"), f"{what}.x509_svid")
-        if read_id(row.spiffe_id, f"{what}.spiffe_id") != chain.id:
-            raise BadIdentity(f"{what}.spiffe_id: not that of its certificate")
+        label = f"svids[{no}]"
+        chain = read_chain(read_der_certificates(row.x509_svid, f"{label}.x509_svid"), f"{label}.x509_svid")
+        if read_spiffe_id(row.spiffe_id, f"{label}.spiffe_id") != chain.id:
+            raise InvalidIdentity(f"{label}.spiffe_id: not that of its certificate")
         try:
             key = serialization.load_der_private_key(row.x509_svid_key, None)
         except (ValueError, TypeError) as problem:
-            raise BadIdentity(f"{what}.x509_svid_key: no private key") from problem
-        svids.append(read_svid(chain, key, f"{what}.x509_svid_key", row.hint))
-        roots = der_chain(row.bundle, f"{what}.bundle")
-        bundles[chain.id.domain] = read_bundle(chain.id.domain, roots, f"{what}.bundle")
+            raise InvalidIdentity(f"{label}.x509_svid_key: no private key") from problem
+        svids.append(read_svid(chain, key, f"{label}.x509_svid_key", row.hint))
+        roots = read_der_certificates(row.bundle, f"{label}.bundle")
+        bundles[chain.id.trust_domain] = read_bundle(chain.id.trust_domain, roots, f"{label}.bundle")
     for name, der in response.federated_bundles.items():
-        domain = read_domain(name, "federated_bundles")
+        domain = read_trust_domain(name, "federated_bundles")
         if domain not in bundles:  # the own one comes with the SVID
-            bundles[domain] = read_bundle(domain, der_chain(der, "federated_bundles"), "federated_bundles")
-    return Update(tuple(svids), {name: with_crls(b, response.crl) for name, b in bundles.items()})
+            bundles[domain] = read_bundle(
+                domain, read_der_certificates(der, "federated_bundles"), "federated_bundles"
+            )
+    return IdentityUpdate(tuple(svids), {name: with_crls(b, response.crl) for name, b in bundles.items()})
 
 
-class Agent:
+class WorkloadApiClient:
     """Follows the agent at one address for as long as the program runs."""
 
     def __init__(
         self,
         address: str,  # `unix:/path`, or `host:port` on this machine
-        pace: Pace,
-        take: Callable[[Update], bool],  # False: it was of no use
-        left: Callable[[], float],  # seconds for which what is held lasts
-        say: Say,
+        backoff: Backoff,
+        apply_update: Callable[[IdentityUpdate], bool],  # False: it was of no use
+        seconds_left: Callable[[], float],  # seconds for which what is held lasts
+        log_event: Say,
     ) -> None:
-        self.address, self.pace, self.take, self.left, self.say = address, pace, take, left, say
+        self.address, self.backoff, self.apply_update, self.seconds_left, self.log_event = (
+            address,
+            backoff,
+            apply_update,
+            seconds_left,
+            log_event,
+        )
         self.connected = False
-        self.breaks = 0
+        self.disconnects = 0
 
     async def follow(self) -> None:
         """Runs until cancelled."""
@@ -110,31 +128,31 @@
                 why = "the stream ended"
             except grpc.aio.AioRpcError as problem:
                 why = f"{problem.code().name}: {(problem.details() or '')[:120]}"
-            except BadIdentity as problem:
+            except InvalidIdentity as problem:
                 why = f"message refused: {problem}"
             except Exception as problem:  # the library's own: what is held goes on
                 why = f"{type(problem).__name__}: {problem}"[:160]
             self.connected = False
-            self.breaks += 1
-            wait = self.pace.wait(self.left())
+            self.disconnects += 1
+            wait = self.backoff.next_delay(self.seconds_left())
             if (
-                self.pace.failures <= 3 or self.pace.failures % 16 == 0
+                self.backoff.failures <= 3 or self.backoff.failures % 16 == 0
             ):  # not a line for each try of a long night
-                self.say("agent", why=why, again_in=round(wait, 1), failures=self.pace.failures)
+                self.log_event("agent", why=why, again_in=round(wait, 1), failures=self.backoff.failures)
             await asyncio.sleep(wait)
 
     async def _stream(self) -> None:
         options: Iterable[tuple[str, Any]] = (
-            ("grpc.max_receive_message_length", MOST),
+            ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
             ("grpc.enable_http_proxy", 0),
             ("grpc.keepalive_time_ms", 30_000),
         )
         async with grpc.aio.insecure_channel(self.address, options=tuple(options)) as channel:
             call = channel.unary_stream(
-                METHOD,
-                request_serializer=Request.SerializeToString,
+                FETCH_METHOD,
+                request_serializer=X509SvidRequest.SerializeToString,
             )
-            async for data in call(Request(), metadata=HEADER):
-                if self.take(read_response(parse(data))):
+            async for data in call(X509SvidRequest(), metadata=SECURITY_HEADER):
+                if self.apply_update(read_response(parse_response(data))):
                     self.connected = True
-                    self.pace.good()
+                    self.backoff.reset()
--- a/tests/issuer.py
+++ b/tests/issuer.py
@@ -21,17 +21,17 @@
 PKCS8, PLAIN = serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
 
 
-def moment(seconds: float) -> datetime.datetime:
+def time_from_now(seconds: float) -> datetime.datetime:
     return datetime.datetime.now(datetime.UTC).replace(microsecond=0) + datetime.timedelta(seconds=seconds)
 
 
-class Domain:
+class Authority:
     """A trust domain's authority. Times are seconds from now."""
 
     def __init__(
-        self, name: str = "letra.example", above: Domain | None = None, uri: str | None = None
+        self, name: str = "letra.example", parent: Authority | None = None, uri: str | None = None
     ) -> None:
-        self.name, self.above = name, above
+        self.name, self.parent = name, parent
         self.key = ec.generate_private_key(ec.SECP256R1())
         named = [f"spiffe://{name}"] if uri is None else [uri] if uri else []
         self.root = self.sign(self.key, named, ca=True)
@@ -46,7 +46,7 @@
         usage: bool = True,
         constraints: bool = True,
     ) -> x509.Certificate:
-        signer = self.above if ca else self
+        signer = self.parent if ca else self
         name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, f"{self.name} {id(self)}")])
         issuer = signer.root.subject if signer is not None else name
         subject = name if ca else x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "workload")])
@@ -56,8 +56,8 @@
             .issuer_name(issuer)
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
-            .not_valid_before(moment(since))
-            .not_valid_after(moment(until))
+            .not_valid_before(time_from_now(since))
+            .not_valid_after(time_from_now(until))
         )
         if constraints:
             build = build.add_extension(x509.BasicConstraints(ca, None), True)
@@ -71,7 +71,7 @@
 
     def issue(self, *uris: str, **faults: Any) -> tuple[list[x509.Certificate], Key]:
         key = ec.generate_private_key(ec.SECP256R1())
-        between = [self.root] if self.above is not None else []
+        between = [self.root] if self.parent is not None else []
         return [self.sign(key, uris, **faults), *between], key
 
     def chain(self, path: str, **faults: Any) -> Chain:
@@ -86,17 +86,17 @@
 
     def crl(self, *certs: x509.Certificate) -> bytes:
         build = x509.CertificateRevocationListBuilder().issuer_name(self.root.subject)
-        build = build.last_update(moment(-60)).next_update(moment(3600))
+        build = build.last_update(time_from_now(-60)).next_update(time_from_now(3600))
         for cert in certs:
             row = x509.RevokedCertificateBuilder().serial_number(cert.serial_number)
-            build = build.add_revoked_certificate(row.revocation_date(moment(-1)).build())
+            build = build.add_revoked_certificate(row.revocation_date(time_from_now(-1)).build())
         return build.sign(self.key, hashes.SHA256()).public_bytes(DER)
 
     # ---- Files
     def write_bundle(self, path: Path) -> None:
         path.write_bytes(self.root.public_bytes(PEM))
 
-    def write(self, folder: Path, file: str, *uris: str, **faults: Any) -> Path:
+    def write_svid(self, folder: Path, file: str, *uris: str, **faults: Any) -> Path:
         """`file`.key and `file`.pem, each put in place whole."""
         certs, key = self.issue(*uris, **faults)
         for name, data in (
@@ -108,9 +108,11 @@
         return folder / f"{file}.pem"
 
 
-def response(svids: Sequence[tuple[str, list[x509.Certificate], Any]], bundle: bytes, **more: Any) -> Any:
+def make_response(
+    svids: Sequence[tuple[str, list[x509.Certificate], Any]], bundle: bytes, **more: Any
+) -> Any:
     """A message of the Workload API."""
-    message = workload.Response(**more)
+    message = workload.X509SvidResponse(**more)
     for name, certs, key in svids:
         row = message.svids.add()
         row.spiffe_id, row.bundle = name, bundle
@@ -119,20 +121,22 @@
     return message
 
 
-def answer(domain: Domain, path: str = "/router", crls: Sequence[bytes] = (), **faults: Any) -> Any:
+def make_svid_response(
+    domain: Authority, path: str = "/router", crls: Sequence[bytes] = (), **faults: Any
+) -> Any:
     name = f"spiffe://{domain.name}{path}"
     certs, key = domain.issue(name, **faults)
-    authority = domain.above or domain
-    return response([(name, certs, key)], authority.root.public_bytes(DER), crl=list(crls))
+    authority = domain.parent or domain
+    return make_response([(name, certs, key)], authority.root.public_bytes(DER), crl=list(crls))
 
 
-class AgentStandIn(grpc.GenericRpcHandler):  # type: ignore[misc]
+class FakeWorkloadApi(grpc.GenericRpcHandler):  # type: ignore[misc]
     """The Workload API on loopback. `tell` sends to whoever listens, and first thing to whoever comes."""
 
     def __init__(self) -> None:
-        self.calls, self.headers, self.port = 0, list[tuple[str, str]](), 0
-        self.now: Any = None
-        self.queues: set[asyncio.Queue[Any]] = set()
+        self.call_count, self.headers, self.port = 0, list[tuple[str, str]](), 0
+        self.latest: Any = None
+        self.subscribers: set[asyncio.Queue[Any]] = set()
         self.server: Any = None
 
     async def start(self) -> None:
@@ -144,34 +148,34 @@
     async def stop(self) -> None:
         await self.server.stop(0)
 
-    def tell(self, message: Any) -> None:
-        self.now = message
-        for queue in self.queues:
+    def publish(self, message: Any) -> None:
+        self.latest = message
+        for queue in self.subscribers:
             queue.put_nowait(message)
 
-    def cut(self) -> None:
-        for queue in self.queues:
+    def break_streams(self) -> None:
+        for queue in self.subscribers:
             queue.put_nowait(None)
 
     def service(self, details: Any) -> Any:
-        if details.method != workload.METHOD:
+        if details.method != workload.FETCH_METHOD:
             return None
         return grpc.unary_stream_rpc_method_handler(
             self._stream,
-            request_deserializer=workload.Request.FromString,
+            request_deserializer=workload.X509SvidRequest.FromString,
             response_serializer=lambda m: m if isinstance(m, bytes) else m.SerializeToString(),
         )
 
     async def _stream(self, request: Any, context: Any) -> AsyncIterator[Any]:
-        self.calls += 1
+        self.call_count += 1
         self.headers = list(context.invocation_metadata())
         queue: asyncio.Queue[Any] = asyncio.Queue()
-        self.queues.add(queue)
+        self.subscribers.add(queue)
         try:
-            if self.now is not None:
-                yield self.now
+            if self.latest is not None:
+                yield self.latest
             while (message := await queue.get()) is not None:
                 yield message
             await context.abort(grpc.StatusCode.UNAVAILABLE, "the agent restarts")
         finally:
-            self.queues.discard(queue)
+            self.subscribers.discard(queue)
--- a/tests/test_identities.py
+++ b/tests/test_identities.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from onyxpulley import operator as operators
+from onyxpulley import operator_config
 from onyxpulley.config import BadConfig
 
-from .issuer import AgentStandIn, Domain, answer, response
+from .issuer import Authority, FakeWorkloadApi, make_response, make_svid_response
 from .player import PATIENCE, SETTINGS, Play, free_port, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -44,9 +44,9 @@
 
     def __init__(self, folder: Path, renew: float = 600.0) -> None:
         super().__init__(folder)
-        self.home, self.next, self.stray = Domain(), Domain(), Domain()
-        self.between = Domain(above=self.home)
-        self.agent, self.renew = AgentStandIn(), renew
+        self.home, self.next, self.stray = Authority(), Authority(), Authority()
+        self.between = Authority(parent=self.home)
+        self.agent, self.renew = FakeWorkloadApi(), renew
         self.contexts: dict[str, ssl.SSLContext] = {}
         self.more = ""
 
@@ -61,9 +61,9 @@
         self.show(name, f"/box/{name}", self.home, {})
         return context
 
-    def show(self, name: str, path: str, domain: Domain, faults: dict[str, Any]) -> None:
+    def show(self, name: str, path: str, domain: Authority, faults: dict[str, Any]) -> None:
         uris = [f"spiffe://letra.example{p}" for p in path.replace("~", "").split(",") if p != "-"]
-        file = domain.write(self.folder, f"{name}-box", *uris, **faults)
+        file = domain.write_svid(self.folder, f"{name}-box", *uris, **faults)
         self.contexts[name].load_cert_chain(file, file.with_suffix(".key"))
 
     def caller(self, name: str) -> ssl.SSLContext:
@@ -72,7 +72,7 @@
         who = {"h1": (self.home, "staff/ana"), "h2": (self.home, "guest"), "h3": (self.stray, "staff/ana")}
         if name in who:
             domain, path = who[name]
-            file = domain.write(self.folder, name, f"spiffe://letra.example/{path}")
+            file = domain.write_svid(self.folder, name, f"spiffe://letra.example/{path}")
             context.load_cert_chain(file, file.with_suffix(".key"))
         return context
 
@@ -85,7 +85,7 @@
     async def start(self, servers: list[str]) -> None:
         self.entries(servers)
         await self.agent.start()
-        self.agent.tell(answer(self.home))
+        self.agent.publish(make_svid_response(self.home))
         self.operator = self.more + OPERATOR.format(port=self.agent.port, renew=self.renew)
         await super().start(servers)
         await self.soon("event=reloaded source=agent svid=spiffe://letra.example/router")
@@ -98,7 +98,7 @@
 
     async def listening(self) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not self.agent.queues:
+            while not self.agent.subscribers:
                 await asyncio.sleep(0.02)
 
     async def run(self, lines: list[str]) -> None:
@@ -123,13 +123,14 @@
             await self.soon("event=reloaded source=entries")
         elif words[0] == "agent" and words[1] == "tells":
             domain = self.next if words[-1] == "next" else self.home
-            message = answer(domain, **faults)
+            message = make_svid_response(domain, **faults)
             if words[-1] == "both":
                 message.svids[0].bundle = (
-                    answer(self.home).svids[0].bundle + answer(self.next).svids[0].bundle
+                    make_svid_response(self.home).svids[0].bundle
+                    + make_svid_response(self.next).svids[0].bundle
                 )
             before = self.log.read_text().count("source=agent svid")
-            self.agent.tell(message)
+            self.agent.publish(message)
             async with asyncio.timeout(PATIENCE):
                 while self.log.read_text().count("source=agent svid") == before:
                     await asyncio.sleep(0.02)
@@ -138,19 +139,19 @@
                 case "stops":
                     await self.agent.stop()
                 case "starts":
-                    self.agent.now = answer(self.home)
+                    self.agent.latest = make_svid_response(self.home)
                     await self.agent.start()
                 case "cuts":
-                    self.agent.cut()
-                case "babbles" | "empties" if not self.agent.queues:
+                    self.agent.break_streams()
+                case "babbles" | "empties" if not self.agent.subscribers:
                     await self.listening()
                     await self.step(line)
                 case "babbles":
-                    self.agent.tell(answer(self.home).SerializeToString()[:-40])
-                    self.agent.now = answer(self.home)
+                    self.agent.publish(make_svid_response(self.home).SerializeToString()[:-40])
+                    self.agent.latest = make_svid_response(self.home)
                 case "empties":
-                    self.agent.tell(response([], b""))
-                    self.agent.now = answer(self.home)
+                    self.agent.publish(make_response([], b""))
+                    self.agent.latest = make_svid_response(self.home)
         elif len(words) > 1 and words[1] == "shows":
             by = getattr(self, words[-1]) if words[-2] == "by" else self.home
             self.show(words[0], words[2], by, faults)
@@ -273,7 +274,7 @@
 def test_the_agent_gets_the_header_that_it_must_insist_on(tmp_path: Path) -> None:
     rig = Guarded(tmp_path)
     asyncio.run(rig.run(["servers c0 p0 o", "wait 0.1"]))
-    assert ("workload.spiffe.io", "true") in rig.agent.headers and rig.agent.calls == 1
+    assert ("workload.spiffe.io", "true") in rig.agent.headers and rig.agent.call_count == 1
 
 
 def test_callers_of_the_signed_front_show_who_they_are(tmp_path: Path) -> None:
@@ -381,5 +382,5 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(BadConfig) as problem:
-        operators.load(path)
+        operator_config.load(path)
     assert said in str(problem.value) and "\n" not in str(problem.value)
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -16,10 +16,10 @@
 from joserfc import jwt
 from joserfc.jwk import ECKey, OctKey
 
-from onyxpulley import operator as operators
+from onyxpulley import operator_config
 from onyxpulley.config import BadConfig
 
-from .issuer import Domain
+from .issuer import Authority
 from .player import PATIENCE, Play, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -75,9 +75,9 @@
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, fill, operator() + ADMIN, self.context)
-        self.home, self.other, self.next = Domain(), Domain(), Domain()
+        self.home, self.other, self.next = Authority(), Authority(), Authority()
         uri = "spiffe://letra.example"
-        self.home.write(folder, "svid", f"{uri}/router")
+        self.home.write_svid(folder, "svid", f"{uri}/router")
         for file, domain in (("bundle", self.home), ("home", self.home), ("next", self.next)):
             domain.write_bundle(folder / f"{file}.pem")
         for domain, file, path in (
@@ -90,7 +90,7 @@
             (self.next, "a7", uri + "/console"),
             (self.next, "next-svid", uri + "/router"),
         ):
-            domain.write(folder, file, *filter(None, [path]))
+            domain.write_svid(folder, file, *filter(None, [path]))
 
     def context(self, name: str) -> ssl.SSLContext | None:
         if name[0] == "h":  # callers of the signed front, which is plain here
@@ -162,9 +162,9 @@
 
 
 def test_the_example_of_the_operators_file_loads() -> None:
-    found = operators.load(Path(__file__).parents[1] / "deploy" / "operator.example.toml")
-    assert found.listen and found.admin and list(found.tenants.all) == ["centro-norte"]
-    assert found.allow == {"spiffe://letra.example/staff/console": "write"}
+    found = operator_config.load(Path(__file__).parents[1] / "deploy" / "operator.example.toml")
+    assert found.signed_listen and found.admin_listen and list(found.tenants.by_name) == ["centro-norte"]
+    assert found.admin_roles == {"spiffe://letra.example/staff/console": "write"}
 
 
 TENANT = '[[tenants]]\nname = "{}"\nissuer = "i"\naudience = "a"\nprefixes = ["{}"]\n'
@@ -187,7 +187,7 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(BadConfig, match=re.escape(said)) as problem:
-        operators.load(path)
+        operator_config.load(path)
     assert "\n" not in str(problem.value)
 
 
--- a/tests/test_spiffe.py
+++ b/tests/test_spiffe.py
@@ -11,27 +11,34 @@
 from cryptography import x509
 from cryptography.hazmat.primitives.asymmetric import dsa
 
-from onyxpulley.spiffe.ids import BadIdentity, SpiffeId, read_id
-from onyxpulley.spiffe.pace import FIRST, LONGEST, URGENT, Pace
-from onyxpulley.spiffe.peers import Expectations, Peers, Rules, Standing, may_call, read_callers
-from onyxpulley.spiffe.sources import read_entries
-from onyxpulley.spiffe.state import Health, Identities, Update
+from onyxpulley.spiffe.backoff import INITIAL_DELAY, MAX_DELAY, MAX_DELAY_WITHOUT_SVID, Backoff
+from onyxpulley.spiffe.files import read_entries
+from onyxpulley.spiffe.ids import InvalidIdentity, SpiffeId, read_spiffe_id
+from onyxpulley.spiffe.peers import (
+    ConnectionLifetime,
+    ExpectedIdentities,
+    PeerStatus,
+    PeerVerifier,
+    is_allowed_caller,
+    read_callers,
+)
+from onyxpulley.spiffe.store import Health, IdentityStore, IdentityUpdate
 from onyxpulley.spiffe.svids import (
-    Cause,
     Chain,
-    Refused,
-    der_chain,
+    PeerRefused,
+    RefusalCause,
     read_bundle,
     read_chain,
+    read_der_certificates,
     read_svid,
     with_crls,
 )
 from onyxpulley.spiffe.workload import read_response
 
-from .issuer import DER, Domain, answer, response
+from .issuer import DER, Authority, make_response, make_svid_response
 
 now = time.time
-HOME, OTHER = Domain(), Domain("norte.example")
+HOME, OTHER = Authority(), Authority("norte.example")
 
 
 # ---- Names
@@ -39,7 +46,7 @@
     "text", ["spiffe://a/b", "spiffe://letra.example/box/s-00c4.f_7A", "spiffe://x/a/b/c"]
 )
 def test_an_id_reads_as_it_is_written(text: str) -> None:
-    assert str(read_id(text)) == text
+    assert str(read_spiffe_id(text)) == text
 
 
 @pytest.mark.parametrize(
@@ -53,8 +60,8 @@
     ],
 )  # fmt: skip
 def test_a_malformed_id_is_refused_with_its_field(text: str) -> None:
-    with pytest.raises(BadIdentity, match="^expect: "):
-        read_id(text, "expect")
+    with pytest.raises(InvalidIdentity, match="^expect: "):
+        read_spiffe_id(text, "expect")
 
 
 # ---- SVIDs and bundles
@@ -72,20 +79,20 @@
 @pytest.mark.parametrize("fault", LEAVES)
 def test_a_leaf_that_is_no_svid_is_refused(fault: str) -> None:
     uris, faults, said = LEAVES[fault]
-    with pytest.raises(BadIdentity, match=said):
+    with pytest.raises(InvalidIdentity, match=said):
         read_chain(HOME.issue(*uris, **faults)[0])
 
 
-def refusal(call: Callable[[], object]) -> Cause:
-    with pytest.raises(Refused) as problem:
+def refusal(call: Callable[[], object]) -> RefusalCause:
+    with pytest.raises(PeerRefused) as problem:
         call()
     return problem.value.cause
 
 
-def held(*domains: Domain, skew: float = 0.0, **faults: Any) -> Identities:
-    identities = Identities("letra.example", skew=skew)
+def held(*domains: Authority, skew: float = 0.0, **faults: Any) -> IdentityStore:
+    identities = IdentityStore("letra.example", clock_skew=skew)
     bundles = {d.name: d.bundle() for d in (HOME, *domains)}
-    identities.take(Update((HOME.svid("/router", **faults),), bundles), now())
+    identities.apply(IdentityUpdate((HOME.svid("/router", **faults),), bundles), now())
     return identities
 
 
@@ -94,23 +101,26 @@
     identities.verify(HOME.chain("/box/c0"), now())
     identities.verify(OTHER.chain("/box/c0"), now())
     posing = read_chain(OTHER.issue(URI)[0])  # a genuine authority, of another domain
-    assert refusal(lambda: identities.verify(posing, now())) is Cause.UNTRUSTED
-    assert refusal(lambda: identities.verify(Domain("sur.example").chain("/x"), now())) is Cause.FOREIGN
-    assert refusal(lambda: identities.verify(Domain().chain("/box/c0"), now())) is Cause.UNTRUSTED
-    assert refusal(lambda: identities.verify(HOME.chain("/x", until=-5), now())) is Cause.EXPIRED
-    assert refusal(lambda: identities.verify(HOME.chain("/x", since=60), now())) is Cause.EARLY
+    assert refusal(lambda: identities.verify(posing, now())) is RefusalCause.UNTRUSTED
+    assert (
+        refusal(lambda: identities.verify(Authority("sur.example").chain("/x"), now()))
+        is RefusalCause.FOREIGN_DOMAIN
+    )
+    assert refusal(lambda: identities.verify(Authority().chain("/box/c0"), now())) is RefusalCause.UNTRUSTED
+    assert refusal(lambda: identities.verify(HOME.chain("/x", until=-5), now())) is RefusalCause.EXPIRED
+    assert refusal(lambda: identities.verify(HOME.chain("/x", since=60), now())) is RefusalCause.NOT_YET_VALID
     identities.verify(HOME.chain("/x", since=20), now())  # an issuer's clock may be ahead that much
-    assert refusal(lambda: held().verify(HOME.chain("/x", since=20), now())) is Cause.EARLY
+    assert refusal(lambda: held().verify(HOME.chain("/x", since=20), now())) is RefusalCause.NOT_YET_VALID
 
 
 def test_intermediates_count_only_as_signing_certificates() -> None:
-    between = Domain("letra.example", above=HOME)
+    between = Authority("letra.example", parent=HOME)
     held().verify(between.chain("/box/c0"), now())
     leaf, key = HOME.issue(URI)
-    below = Domain("letra.example")
+    below = Authority("letra.example")
     below.key, below.root = key, leaf[0]  # a leaf that signs another one
     certs = [*below.issue(URI)[0], leaf[0]]
-    assert refusal(lambda: held().verify(read_chain(certs), now())) is Cause.UNTRUSTED
+    assert refusal(lambda: held().verify(read_chain(certs), now())) is RefusalCause.UNTRUSTED
 
 
 def test_a_revoked_serial_is_refused_if_its_own_authority_says_so() -> None:
@@ -119,7 +129,7 @@
     assert len(bundle.crls) == 1, "lists of other authorities say nothing here"
     identities = held()
     identities.bundles["letra.example"] = bundle
-    assert refusal(lambda: identities.verify(chain, now())) is Cause.REVOKED
+    assert refusal(lambda: identities.verify(chain, now())) is RefusalCause.REVOKED
     identities.verify(HOME.chain("/box/c0"), now())
 
 
@@ -135,158 +145,195 @@
 @pytest.mark.parametrize("fault", BUNDLES)
 def test_a_bad_bundle_is_refused_and_named(fault: str) -> None:
     make, said = BUNDLES[fault]
-    with pytest.raises(BadIdentity, match=f"bundle of letra.example: .*{said}"):
+    with pytest.raises(InvalidIdentity, match=f"bundle of letra.example: .*{said}"):
         read_bundle("letra.example", make())
 
 
 # ---- The agent's messages
 def spoilt(**changes: Any) -> Any:
-    message = answer(HOME)
+    message = make_svid_response(HOME)
     for name, value in changes.items():
         setattr(message.svids[0], name, value)
     return message
 
 
 MESSAGES: dict[str, tuple[Callable[[], Any], str]] = {
-    "nothing": (lambda: response([], b""), "own SVID: none"),
+    "nothing": (lambda: make_response([], b""), "own SVID: none"),
     "other id": (lambda: spoilt(spiffe_id="spiffe://letra.example/else"), "spiffe_id: not that of"),
     "bad id": (lambda: spoilt(spiffe_id="x"), r"svids\[1\].spiffe_id: not a SPIFFE ID"),
-    "cut chain": (lambda: spoilt(x509_svid=answer(HOME).svids[0].x509_svid[:-1]), "1 cannot be read"),
+    "cut chain": (
+        lambda: spoilt(x509_svid=make_svid_response(HOME).svids[0].x509_svid[:-1]),
+        "1 cannot be read",
+    ),
     "noise": (lambda: spoilt(x509_svid=b"\x30\x03abc"), "certificate 1 cannot be read"),
     "no chain": (lambda: spoilt(x509_svid=b""), "no certificate"),
-    "another key": (lambda: spoilt(x509_svid_key=answer(HOME).svids[0].x509_svid_key), "not that of its"),
+    "another key": (
+        lambda: spoilt(x509_svid_key=make_svid_response(HOME).svids[0].x509_svid_key),
+        "not that of its",
+    ),
     "no key": (lambda: spoilt(x509_svid_key=b"x"), r"svids\[1\].x509_svid_key: no private key"),
     "no bundle": (lambda: spoilt(bundle=b""), "no authority"),
-    "another bundle": (lambda: spoilt(bundle=Domain().root.public_bytes(DER)), "own SVID: untrusted"),
-    "expired": (lambda: answer(HOME, until=-1), "own SVID: expired"),
-    "another domain": (lambda: answer(OTHER), "of trust domain norte.example"),
-    "bad crl": (lambda: answer(HOME, crls=[b"x"]), "crl 1: cannot be read"),
-}  # fmt: skip
+    "another bundle": (lambda: spoilt(bundle=Authority().root.public_bytes(DER)), "own SVID: untrusted"),
+    "expired": (lambda: make_svid_response(HOME, until=-1), "own SVID: expired"),
+    "another domain": (lambda: make_svid_response(OTHER), "of trust domain norte.example"),
+    "bad crl": (lambda: make_svid_response(HOME, crls=[b"x"]), "crl 1: cannot be read"),
+}
 
 
 @pytest.mark.parametrize("fault", MESSAGES)
 def test_a_bad_message_is_one_line_and_what_was_good_stays(fault: str) -> None:
     identities = held()
-    own, generation = identities.own, identities.generation
+    own, generation = identities.svid, identities.generation
     make, said = MESSAGES[fault]
-    with pytest.raises(BadIdentity, match=said) as problem:
-        identities.take(read_response(make()), now())
+    with pytest.raises(InvalidIdentity, match=said) as problem:
+        identities.apply(read_response(make()), now())
     assert "\n" not in str(problem.value) and "PRIVATE" not in str(problem.value)
-    assert identities.own is own and identities.generation == generation and identities.in_force(now()) is own
+    assert (
+        identities.svid is own
+        and identities.generation == generation
+        and identities.current_svid(now()) is own
+    )
 
 
 def test_a_key_of_a_kind_that_is_not_used_is_refused() -> None:
-    with pytest.raises(BadIdentity, match="no EC, RSA or Ed25519"):
+    with pytest.raises(InvalidIdentity, match="no EC, RSA or Ed25519"):
         read_svid(HOME.chain("/x"), dsa.generate_private_key(1024))
 
 
 def test_der_behind_der_is_read_whole_or_not_at_all() -> None:
     data = HOME.root.public_bytes(DER) + OTHER.root.public_bytes(DER)
-    assert der_chain(data, "bundle") == [HOME.root, OTHER.root]
+    assert read_der_certificates(data, "bundle") == [HOME.root, OTHER.root]
     for cut in (*range(1, 8), len(data) // 2, len(data) - 1):
         if cut != len(HOME.root.public_bytes(DER)):
-            with pytest.raises(BadIdentity, match="bundle: certificate [12] cannot be read"):
-                der_chain(data[:cut], "bundle")
+            with pytest.raises(InvalidIdentity, match="bundle: certificate [12] cannot be read"):
+                read_der_certificates(data[:cut], "bundle")
 
 
 def test_identities_rotate_go_late_and_fail_closed() -> None:
     identities = held(since=-10, until=100)
     assert identities.health(now()) is Health.GOOD
-    same = identities.take(Update((identities.own,), dict(identities.bundles)), now())  # type: ignore[arg-type]
+    same = identities.apply(IdentityUpdate((identities.svid,), dict(identities.bundles)), now())  # type: ignore[arg-type]
     assert not same and identities.generation == 1, "the same once more changes nothing"
-    end = identities.own.chain.until  # type: ignore[union-attr]
-    assert identities.health(end - 1) is Health.LATE and identities.in_force(end - 1)
+    end = identities.svid.chain.not_after  # type: ignore[union-attr]
+    assert identities.health(end - 1) is Health.LATE and identities.current_svid(end - 1)
     assert identities.health(end) is Health.EXPIRED
-    assert refusal(lambda: identities.in_force(end)) is Cause.OWN
-    change = identities.take(Update((HOME.svid("/router"),), dict(identities.bundles)), now())
-    assert change.own and not change.domains and identities.rotations == 1 and identities.in_force(end)
-    hinted = Identities("letra.example", hint="internal")
-    with pytest.raises(BadIdentity, match="hint 'internal'"):
-        hinted.take(Update((HOME.svid("/router"),), {"letra.example": HOME.bundle()}), now())
+    assert refusal(lambda: identities.current_svid(end)) is RefusalCause.NO_OWN_SVID
+    change = identities.apply(IdentityUpdate((HOME.svid("/router"),), dict(identities.bundles)), now())
+    assert (
+        change.svid_changed
+        and not change.changed_bundles
+        and identities.rotations == 1
+        and identities.current_svid(end)
+    )
+    hinted = IdentityStore("letra.example", hint="internal")
+    with pytest.raises(InvalidIdentity, match="hint 'internal'"):
+        hinted.apply(IdentityUpdate((HOME.svid("/router"),), {"letra.example": HOME.bundle()}), now())
 
 
 # ---- Who is expected, and open connections
-def peers(expect: Expectations | None = None, *domains: Domain) -> Peers:
-    template = Expectations("spiffe://letra.example/box/{id}")
-    return Peers(held(*domains), expect or template, Rules(renew_after=600.0, end_after=3.0))
+def peers(expect: ExpectedIdentities | None = None, *domains: Authority) -> PeerVerifier:
+    template = ExpectedIdentities("spiffe://letra.example/box/{id}")
+    return PeerVerifier(
+        held(*domains), expect or template, ConnectionLifetime(renew_after=600.0, end_after=3.0)
+    )
 
 
 def test_a_server_is_who_its_id_says_and_nobody_else() -> None:
     named = {"c1": SpiffeId("norte.example", "/cache")}
-    known = peers(Expectations("spiffe://letra.example/box/{id}", named, frozenset({"c0", "c1"})), OTHER)
-    assert known.bond("c0", HOME.chain("/box/c0"), now()).standing is Standing.GOOD
-    known.bond("c1", OTHER.chain("/cache"), now())
-    assert refusal(lambda: known.bond("c0", HOME.chain("/box/c1"), now())) is Cause.MISMATCH
-    assert refusal(lambda: known.bond("c1", HOME.chain("/box/c1"), now())) is Cause.MISMATCH
-    assert refusal(lambda: known.before("c2", now())) is Cause.UNLISTED
-    assert refusal(lambda: peers().before("c 2/..", now())) is Cause.UNLISTED, "an id that is no segment"
-    assert known.refused[Cause.MISMATCH] == 2 and known.refused[Cause.UNLISTED] == 1
-
-
-def chain_of(known: Peers, chain: Chain, changes: Callable[[Peers], object]) -> tuple[Standing, Cause | None]:
-    bond = known.bond("c0", chain, now())
-    assert known.standing(bond, now() + 1) is Standing.GOOD
+    known = peers(
+        ExpectedIdentities("spiffe://letra.example/box/{id}", named, frozenset({"c0", "c1"})), OTHER
+    )
+    assert known.verify_server("c0", HOME.chain("/box/c0"), now()).status is PeerStatus.VALID
+    known.verify_server("c1", OTHER.chain("/cache"), now())
+    assert (
+        refusal(lambda: known.verify_server("c0", HOME.chain("/box/c1"), now()))
+        is RefusalCause.OTHER_IDENTITY
+    )
+    assert (
+        refusal(lambda: known.verify_server("c1", HOME.chain("/box/c1"), now()))
+        is RefusalCause.OTHER_IDENTITY
+    )
+    assert refusal(lambda: known.expected_identity("c2", now())) is RefusalCause.NOT_LISTED
+    assert refusal(lambda: peers().expected_identity("c 2/..", now())) is RefusalCause.NOT_LISTED, (
+        "an id that is no segment"
+    )
+    assert known.refused[RefusalCause.OTHER_IDENTITY] == 2 and known.refused[RefusalCause.NOT_LISTED] == 1
+
+
+def chain_of(
+    known: PeerVerifier, chain: Chain, changes: Callable[[PeerVerifier], object]
+) -> tuple[PeerStatus, RefusalCause | None]:
+    bond = known.verify_server("c0", chain, now())
+    assert known.status(bond, now() + 1) is PeerStatus.VALID
     changes(known)
-    return known.standing(bond, now() + 1), bond.cause
+    return known.status(bond, now() + 1), bond.cause
 
 
-def withdraw(known: Peers) -> None:
-    after = Domain()
-    known.identities.take(Update((after.svid("/router"),), {"letra.example": after.bundle()}), now())
+def withdraw(known: PeerVerifier) -> None:
+    after = Authority()
+    known.store.apply(IdentityUpdate((after.svid("/router"),), {"letra.example": after.bundle()}), now())
 
 
-def roll(known: Peers) -> None:
+def roll(known: PeerVerifier) -> None:
     """The next authority beside the present one, and an SVID of it."""
-    after = Domain()
+    after = Authority()
     both = read_bundle("letra.example", [HOME.root, after.root])
-    known.identities.take(Update((after.svid("/router"),), {"letra.example": both}), now())
+    known.store.apply(IdentityUpdate((after.svid("/router"),), {"letra.example": both}), now())
 
 
 TEMPLATE = "spiffe://letra.example/box/{id}"
-CHANGES: dict[str, tuple[Callable[[Peers], object], Cause | None]] = {
+CHANGES: dict[str, tuple[Callable[[PeerVerifier], object], RefusalCause | None]] = {
     "own rotation": (
-        lambda p: p.identities.take(Update((HOME.svid("/router"),), dict(p.identities.bundles)), now()), None
+        lambda p: p.store.apply(IdentityUpdate((HOME.svid("/router"),), dict(p.store.bundles)), now()),
+        None,
     ),
     "bundle rolls over": (roll, None),
-    "root withdrawn": (withdraw, Cause.UNTRUSTED),
-    "entry taken away": (lambda p: p.expect(Expectations(TEMPLATE, {}, frozenset({"c1"}))), Cause.UNLISTED),
+    "root withdrawn": (withdraw, RefusalCause.UNTRUSTED),
+    "entry taken away": (
+        lambda p: p.update_expected(ExpectedIdentities(TEMPLATE, {}, frozenset({"c1"}))),
+        RefusalCause.NOT_LISTED,
+    ),
     "another identity": (
-        lambda p: p.expect(Expectations("", {"c0": read_id("spiffe://letra.example/box/n0")})), Cause.MISMATCH
+        lambda p: p.update_expected(
+            ExpectedIdentities("", {"c0": read_spiffe_id("spiffe://letra.example/box/n0")})
+        ),
+        RefusalCause.OTHER_IDENTITY,
     ),
     "revoked by name": (
-        lambda p: p.expect(Expectations(TEMPLATE, revoked=frozenset({read_id(URI)}))), Cause.REVOKED
+        lambda p: p.update_expected(ExpectedIdentities(TEMPLATE, revoked=frozenset({read_spiffe_id(URI)}))),
+        RefusalCause.REVOKED,
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("what", CHANGES)
 def test_a_connection_stands_or_ends_by_what_it_rests_on(what: str) -> None:
     changes, cause = CHANGES[what]
-    expected = (Standing.GOOD if cause is None else Standing.ENDING, cause)
+    expected = (PeerStatus.VALID if cause is None else PeerStatus.CLOSING, cause)
     assert chain_of(peers(), HOME.chain("/box/c0"), changes) == expected
 
 
 def test_what_runs_on_an_untrusted_connection_has_its_stated_time_and_an_old_one_ends_in_peace() -> None:
     known = peers()
-    bond = known.bond("c0", HOME.chain("/box/c0", until=300), now())
-    end = bond.chain.until
-    assert known.standing(bond, end - 1) is Standing.GOOD
-    assert known.standing(bond, end) is Standing.ENDING and bond.cause is Cause.EXPIRED
-    assert bond.ends == end + 3.0
-    old = known.bond("c0", HOME.chain("/box/c0"), now())
-    assert known.standing(old, now() + 600) is Standing.RENEW and old.ends == float("inf")
+    bond = known.verify_server("c0", HOME.chain("/box/c0", until=300), now())
+    end = bond.chain.not_after
+    assert known.status(bond, end - 1) is PeerStatus.VALID
+    assert known.status(bond, end) is PeerStatus.CLOSING and bond.cause is RefusalCause.EXPIRED
+    assert bond.closes_at == end + 3.0
+    old = known.verify_server("c0", HOME.chain("/box/c0"), now())
+    assert known.status(old, now() + 600) is PeerStatus.RENEW and old.closes_at == float("inf")
     withdraw(known)
-    assert known.standing(old, now() + 601) is Standing.ENDING, "old or not, trust is looked at"
-    assert known.standing(bond, now()) is Standing.ENDING, "once gone is gone"
+    assert known.status(old, now() + 601) is PeerStatus.CLOSING, "old or not, trust is looked at"
+    assert known.status(bond, now()) is PeerStatus.CLOSING, "once gone is gone"
 
 
 def test_without_an_own_identity_nobody_is_asked_and_open_connections_take_nothing() -> None:
-    known = Peers(held(until=50), Expectations(TEMPLATE))
-    bond = known.bond("c0", HOME.chain("/box/c0"), now())
-    end = known.identities.own.chain.until  # type: ignore[union-attr]
-    assert known.standing(bond, end - 1) is Standing.GOOD
-    assert known.standing(bond, end) is Standing.ENDING and bond.cause is Cause.OWN
-    assert refusal(lambda: known.before("c0", end)) is Cause.OWN
+    known = PeerVerifier(held(until=50), ExpectedIdentities(TEMPLATE))
+    bond = known.verify_server("c0", HOME.chain("/box/c0"), now())
+    end = known.store.svid.chain.not_after  # type: ignore[union-attr]
+    assert known.status(bond, end - 1) is PeerStatus.VALID
+    assert known.status(bond, end) is PeerStatus.CLOSING and bond.cause is RefusalCause.NO_OWN_SVID
+    assert refusal(lambda: known.expected_identity("c0", end)) is RefusalCause.NO_OWN_SVID
 
 
 def test_callers_are_let_in_by_whole_segments() -> None:
@@ -299,9 +346,9 @@
         ("spiffe://letra.example/one/more", False),
         ("spiffe://norte.example/staff/ana", False),
     ):
-        assert may_call(read_id(text), callers) is fits
+        assert is_allowed_caller(read_spiffe_id(text), callers) is fits
     for bad in ("spiffe://letra.example/a*", "letra.example/*", "spiffe://letra.example/a/../*"):
-        with pytest.raises(BadIdentity, match="callers"):
+        with pytest.raises(InvalidIdentity, match="callers"):
             read_callers([bad], "callers")
 
 
@@ -319,16 +366,16 @@
 def test_a_bad_list_of_boxes_is_refused_with_its_field(text: str, said: str, tmp_path: Path) -> None:
     path = tmp_path / "boxes.toml"
     path.write_text(text)
-    with pytest.raises(BadIdentity, match=said):
+    with pytest.raises(InvalidIdentity, match=said):
         read_entries(TEMPLATE, path)
 
 
 def test_the_agent_is_called_again_ever_later_but_in_time_and_spread() -> None:
-    low, high = Pace(lambda: 0.0), Pace(lambda: 1.0)
-    waits = [high.wait() for _ in range(12)]
-    assert waits[:3] == [FIRST, 2 * FIRST, 4 * FIRST] and waits[-1] == LONGEST
-    assert all(low.wait() <= 0.1 * wait for wait in waits)
-    assert high.wait(left=9.0) <= 3.0, "twice more before what is held ends"
-    assert high.wait(left=0.0) <= URGENT, "nobody is asked until it comes"
-    high.good()
-    assert high.wait() == FIRST
+    low, high = Backoff(lambda: 0.0), Backoff(lambda: 1.0)
+    waits = [high.next_delay() for _ in range(12)]
+    assert waits[:3] == [INITIAL_DELAY, 2 * INITIAL_DELAY, 4 * INITIAL_DELAY] and waits[-1] == MAX_DELAY
+    assert all(low.next_delay() <= 0.1 * wait for wait in waits)
+    assert high.next_delay(seconds_left=9.0) <= 3.0, "twice more before what is held ends"
+    assert high.next_delay(seconds_left=0.0) <= MAX_DELAY_WITHOUT_SVID, "nobody is asked until it comes"
+    high.reset()
+    assert high.next_delay() == INITIAL_DELAY
