--- a/onyxpulley/__init__.py
+++ b/onyxpulley/__init__.py
@@ -1,5 +1,5 @@
 """A request router for cache clusters. `Router` makes its routing decisions."""
 
-from onyxpulley.control import Router
+from onyxpulley.router import Router
 
 __all__ = ["Router"]
--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -14,7 +14,6 @@
 from onyxpulley import logs
 from onyxpulley.clock import PlatformClock, now_us
 from onyxpulley.config import BadConfig
-from onyxpulley.control import Router
 from onyxpulley.core import (
     Abort,
     Answer,
@@ -27,6 +26,7 @@
     Send,
     Verdict,
 )
+from onyxpulley.router import Router
 from onyxpulley.settings import Json, read_settings
 
 OUTCOMES = {
@@ -87,7 +87,7 @@
         self.router = Router(self.settings, seed)
         self.open_requests: dict[str, Request] = {}  # by key
         self.timers: list[tuple[int, int]] = []  # heap of due times and tokens
-        self.log: Callable[[str], None] = logs.say
+        self.log: Callable[[str], None] = logs.info
 
     def configure(self, params: Json, link_transfers: float, max_tracked_objects: int) -> None:
         """Applies new settings. Raises BadConfig on a change of the zone or of the kinds of servers."""
@@ -129,7 +129,7 @@
         """The number of listed servers, and how many of the ready ones the router avoids now."""
         known = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
         ready = [s for s in known if s.state is api.ServerState.READY]
-        return len(known), sum(not self.router.usable(s) for s in ready)
+        return len(known), sum(not self.router.is_usable(s) for s in ready)
 
     # ---- Requests
     def route(self, request: Request) -> Sequence[Command]:
@@ -148,7 +148,7 @@
                 request.part,
                 is_repeat=request.is_repeat,
                 tenant=request.tenant,
-                own_copy_age=self.platform_clock.most_age_us(own_copy.issued_ms)
+                own_copy_age=self.platform_clock.max_age_us(own_copy.issued_ms)
                 if own_copy is not None
                 else None,
                 client_has_copy=own_copy is not None
@@ -199,7 +199,7 @@
 
     def answer_now(self, request: Request) -> Sequence[Command]:
         """Decides on the final answer at once, whatever attempts are out."""
-        return self._to_commands(self.router.settle(self.clock(), request.key))
+        return self._to_commands(self.router.force_answer(self.clock(), request.key))
 
     def recheck(self, attempt: Attempt) -> bool:
         """Whether an attempt that has waited may still be written.
@@ -224,7 +224,7 @@
                 SERVER_STATES[m.state],
                 m.weight,
                 m.boot_ms,
-                max(1, self.clock() - self.platform_clock.least_age_us(m.boot_ms)),
+                max(1, self.clock() - self.platform_clock.min_age_us(m.boot_ms)),
             )
             for m in members
         )
@@ -238,7 +238,7 @@
 
         A live one counts from now; one that was known at the start is as old as the platform's stamps prove.
         """
-        age = 0 if is_live else self.platform_clock.least_age_us(issued_ms)
+        age = 0 if is_live else self.platform_clock.min_age_us(issued_ms)
         return self._handle(api.Purged(group, age, object_id))
 
     # ---- Translation of events and actions
--- a/tests/test_write.py
+++ b/tests/test_write.py
@@ -4,38 +4,47 @@
 
 from onyxpulley import interface as api
 
-from .helpers import SEC, START, World, entries, fetch, finals, sends, with_settings
-
-
-def recheck(world: World, name: str, after: int = 0) -> int | None:
+from .helpers import (
+    SEC,
+    START,
+    RouterHarness,
+    entries,
+    final_answers,
+    sent_attempts,
+    single_fetch,
+    with_settings,
+)
+
+
+def recheck(world: RouterHarness, name: str, after: int = 0) -> int | None:
     world.now += after
     return world.router.recheck(world.now, name, 0)
 
 
 def test_a_waiting_attempt_is_not_written_once_its_server_or_source_drains() -> None:
     for role in ("server", "source"):
-        world = World()
-        name, actions = world.ask()
+        world = RouterHarness()
+        name, actions = world.request()
         assert recheck(world, name) == 0
-        draining = getattr(fetch(actions), role)
+        draining = getattr(single_fetch(actions), role)
         entry = next(e for e in entries() if e.server == draining)
-        world.change(api.ServerEntry(draining, entry.zone, entry.kind, entry.cell, api.ServerState.DRAINING))
+        world.update_servers(api.ServerEntry(draining, entry.zone, entry.kind, entry.cell, api.ServerState.DRAINING))
         assert recheck(world, name) is None
 
 
 def test_a_purge_limits_the_copy_age_of_a_waiting_attempt() -> None:
-    world = World()
-    name, _ = world.ask("x")
-    world.do(api.Purged(1, 40_000, "x"))
+    world = RouterHarness()
+    name, _ = world.request("x")
+    world.handle(api.Purged(1, 40_000, "x"))
     bound = recheck(world, name, 10_000)
     assert bound is not None and 0 < bound < 50_000
 
 
 def test_a_waiting_attempt_is_written_to_a_server_that_started_meanwhile_only_within_its_cold_limit() -> None:
-    world = World()
-    name, actions = world.ask()
-    entry = next(e for e in entries() if e.server == fetch(actions).server)
-    world.change(
+    world = RouterHarness()
+    name, actions = world.request()
+    entry = next(e for e in entries() if e.server == single_fetch(actions).server)
+    world.update_servers(
         api.ServerEntry(
             entry.server, entry.zone, entry.kind, entry.cell, api.ServerState.READY, 1.0, world.now
         )
@@ -44,65 +53,65 @@
 
 
 def test_an_unsafe_request_that_never_ran_is_retried_and_may_be_refused() -> None:
-    world = World()
-    name, actions = world.ask(cls="sign")
+    world = RouterHarness()
+    name, actions = world.request(cls="sign")
     for attempt in range(8):
         sent = [a for a in actions if isinstance(a, api.Forward | api.Fetch)]
         if not sent:
             break
-        actions = world.end(name, sent[0], api.Outcome.FULL, attempt=attempt)
-    assert attempt > 1 and isinstance(finals(actions)[0], api.Refuse)
+        actions = world.finish(name, sent[0], api.Outcome.FULL, attempt=attempt)
+    assert attempt > 1 and isinstance(final_answers(actions)[0], api.Refuse)
 
 
-def served_from_own_copy(world: World, age: int, cls: str = "pages", kb: float = 50.0) -> bool:
+def served_from_own_copy(world: RouterHarness, age: int, cls: str = "pages", kb: float = 50.0) -> bool:
     request = api.Request(f"own{world.now}", cls, "x", 2 * SEC, group=1, size_kb=kb, own_copy_age=age)
-    return any(isinstance(a, api.ServeOwnCopy) for a in world.do(request, 1))
+    return any(isinstance(a, api.ServeOwnCopy) for a in world.handle(request, 1))
 
 
 def test_an_own_copy_is_served_within_the_limits_of_age_purge_link_and_class() -> None:
-    world = World(with_settings(link_transfers=2.0))
+    world = RouterHarness(with_settings(link_transfers=2.0))
     assert served_from_own_copy(world, 1 * SEC)
     assert not served_from_own_copy(world, 8 * SEC)  # beyond the freshness lifetime
     assert not served_from_own_copy(world, 0, "sign")  # the class is not cached
-    world.do(api.Purged(1, 0, "x"))
+    world.handle(api.Purged(1, 0, "x"))
     assert not served_from_own_copy(world, 1 * SEC)  # older than the purge
     assert served_from_own_copy(world, 0 * SEC) is False  # not certainly newer than the purge
-    busy = World(with_settings(link_transfers=2.0))
+    busy = RouterHarness(with_settings(link_transfers=2.0))
     served = [served_from_own_copy(busy, 1 * SEC, kb=100.0) for _ in range(20)]
     assert served[0] and not served[-1]  # this router's link is full: a cache is faster
-    assert not served_from_own_copy(World(), 1 * SEC)  # without a configured link capacity: no own copies
+    assert not served_from_own_copy(RouterHarness(), 1 * SEC)  # without a configured link capacity: no own copies
 
 
 def test_a_not_modified_answer_does_not_change_the_latency_estimate() -> None:
-    world = World()
+    world = RouterHarness()
     for _ in range(50):
-        name, actions = world.ask()
-        sent = fetch(actions)
-        world.do(
+        name, actions = world.request()
+        sent = single_fetch(actions)
+        world.handle(
             api.Finished(
                 name, 0, sent.server, api.Outcome.SERVED, 2_000, True, api.Note.HIT, not_modified=True
             ),
             2_000,
         )
-    assert world.router.lag == World().router.lag
+    assert world.router.base_latency == RouterHarness().router.base_latency
 
 
 def test_a_request_is_answered_at_once_at_the_end_of_a_drain_and_only_once() -> None:
-    world = World()
-    safe, _ = world.ask()
-    unsafe, _ = world.ask(cls="sign")
-    assert isinstance(finals(world.router.settle(START + 1, safe))[0], api.Refuse)
-    assert isinstance(finals(world.router.settle(START + 1, unsafe))[0], api.Fail)
-    assert not world.router.settle(START + 2, unsafe)
+    world = RouterHarness()
+    safe, _ = world.request()
+    unsafe, _ = world.request(cls="sign")
+    assert isinstance(final_answers(world.router.force_answer(START + 1, safe))[0], api.Refuse)
+    assert isinstance(final_answers(world.router.force_answer(START + 1, unsafe))[0], api.Fail)
+    assert not world.router.force_answer(START + 2, unsafe)
 
 
 # Lack of sockets on this machine must neither mark a server as failing nor fail an unsafe request.
 def test_a_connection_that_this_machine_could_not_make_is_no_failure_of_the_server() -> None:
-    world = World()
-    name, actions = world.ask(cls="sign")
-    first = sends(actions)[0]
+    world = RouterHarness()
+    name, actions = world.request(cls="sign")
+    first = sent_attempts(actions)[0]
     for attempt in range(4):
-        actions = world.end(name, sends(actions)[0], api.Outcome.NOT_CONNECTED, attempt=attempt)
-        assert sends(actions)[0].server == first.server
+        actions = world.finish(name, sent_attempts(actions)[0], api.Outcome.NOT_CONNECTED, attempt=attempt)
+        assert sent_attempts(actions)[0].server == first.server
     server = world.router.servers[first.server]
-    assert not server.fails and not server.down_until and world.router.usable(server)
+    assert not server.consecutive_failures and not server.ejected_until and world.router.is_usable(server)
