--- a/onyxpulley/bounded_state.py
+++ b/onyxpulley/bounded_state.py
@@ -1,4 +1,4 @@
-"""A table of bounded size, and work per time: what was written longest ago makes way or fades."""
+"""State of bounded size: tables that evict their oldest entries, and rates whose past decays."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 K = TypeVar("K")
 V = TypeVar("V")
-SECOND = 1_000_000
-REFERENCES_PER_ENTRY = (
-    100  # references whose bytes are those of a plain entry: eight bytes each, 900 in all (config.ENTRY)
-)
+SECOND = 1_000_000  # us
+# An entry may hold this many references (of eight bytes) in the memory that the limits assume for an entry.
+REFERENCES_PER_ENTRY = 100
 
 
 class BoundedDict(OrderedDict[K, V], Generic[K, V]):
-    """Guards the memory against names that never return. Writing an entry anew makes it the latest."""
+    """A dict that evicts the entries written longest ago: keys that never return cannot fill the memory."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_entries: int) -> None:
         super().__init__()
-        self.max_entries = most
+        self.max_entries = max_entries
 
-    def reset(self, most: int, wide: int) -> None:
-        """Empty, for entries that each refer to so many things: the more there are, the fewer have room."""
+    def reset(self, max_entries: int, references: int) -> None:
+        """Empties the table, for entries with that many references each: the more, the fewer entries fit."""
         self.clear()
-        self.max_entries = max(1, most * REFERENCES_PER_ENTRY // (REFERENCES_PER_ENTRY + wide))
+        plain = REFERENCES_PER_ENTRY
+        self.max_entries = max(1, max_entries * plain // (plain + references))
 
     def __setitem__(self, key: K, value: V) -> None:
         super().__setitem__(key, value)
@@ -34,22 +34,27 @@
 
 
 class DecayingRate:
-    """Work per time, over the last `span` or, early on, since the first sample."""
+    """Work per time with exponentially decaying weight. Times and the time constant are microseconds."""
 
-    __slots__ = ("first_at", "time_constant", "total", "updated_at")  # there is one for each object
+    __slots__ = ("first_at", "time_constant", "total", "updated_at")  # one instance per object
 
-    def __init__(self, span: int) -> None:
-        self.time_constant, self.total, self.updated_at, self.first_at = span, 0.0, 0, 0
+    def __init__(self, time_constant: int) -> None:
+        self.time_constant = time_constant
+        self.total = 0.0
+        self.updated_at = 0
+        self.first_at = 0
 
     def add(self, now: int, work: float) -> None:
+        """Adds work at the time `now`."""
         self.first_at = self.first_at or now
-        self.total, self.updated_at = (
-            self.total * math.exp((self.updated_at - now) / self.time_constant) + work,
-            now,
-        )
+        self.total = self.total * math.exp((self.updated_at - now) / self.time_constant) + work
+        self.updated_at = now
 
     def decayed_rate(self, now: int) -> float:
+        """Work per time over the time constant, too low while the first sample is not that old."""
         return self.total * math.exp((self.updated_at - now) / self.time_constant) / self.time_constant
 
     def rate(self, now: int) -> float:
-        return self.decayed_rate(now) / -math.expm1(-max(SECOND, now - self.first_at) / self.time_constant)
+        """Work per time, corrected for the short time since the first sample, of at least one second."""
+        since_first = max(SECOND, now - self.first_at)
+        return self.decayed_rate(now) / -math.expm1(-since_first / self.time_constant)
--- a/onyxpulley/hashing.py
+++ b/onyxpulley/hashing.py
@@ -1,4 +1,4 @@
-"""Winning hashes: which server an object belongs to, the same at every router."""
+"""Rendezvous hashing: the winning hash decides which server an object belongs to, at every router alike."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-HASH_KEY = b"latchgrade"  # the project's old name: another one would move every object
+HASH_KEY = b"latchgrade"  # a former name of the project; any other key would move every object
 
 
 def unit_hash(key: bytes, first: str, second: str) -> float:
-    """A keyed hash of two names in (0, 1), the same in every process."""
-    raw = blake2b(f"{first}\0{second}".encode(), digest_size=8, key=key).digest()
-    return (int.from_bytes(raw, "big") + 0.5) / 2**64
+    """A keyed hash of two names, in (0, 1) and the same in every process."""
+    digest = blake2b(f"{first}\0{second}".encode(), digest_size=8, key=key).digest()
+    return (int.from_bytes(digest, "big") + 0.5) / 2**64
 
 
 def score(obj: str, server: str, weight: float = 1.0) -> float:
-    """Winning hash of the design; a nominal weight is its load factor (CARP)."""
+    """The winning hash of an object at a server: the highest wins, in proportion to the weights (CARP)."""
     return -weight / math.log(unit_hash(HASH_KEY, obj, server))
 
 
 def scores(obj: str, servers: Iterable[tuple[str, float]]) -> list[float]:
-    """The same for many servers, given by id and weight: the object's part of the hash is computed once."""
+    """`score` for many servers, given by id and weight; hashes the name of the object only once."""
     prefix = blake2b(f"{obj}\0".encode(), digest_size=8, key=HASH_KEY)
     found = []
     for server, weight in servers:
         state = prefix.copy()
         state.update(server.encode())
-        draw_of = (int.from_bytes(state.digest(), "big") + 0.5) / 2**64
-        found.append(-weight / math.log(draw_of))
+        value = (int.from_bytes(state.digest(), "big") + 0.5) / 2**64
+        found.append(-weight / math.log(value))
     return found
 
 
 def admission_hash(obj: str, server: str) -> float:
-    """Second hash: all routers agree by it which part of its objects a cold or crowded server takes."""
+    """A second hash, in (0, 1): all routers agree by it which objects are in a server's admission share."""
     return unit_hash(b"part", server, obj)
--- a/onyxpulley/router.py
+++ b/onyxpulley/router.py
@@ -1,7 +1,8 @@
-"""All decisions of a cache router. The types are in interface.py; how and why is in docs/design.md.
+"""The decisions of a cache router: which server takes a request, from which source, and when it is refused.
 
-One Router stands for one router of one deployment. It shares nothing, reads no clock and draws no luck:
-equal events give equal actions. Times are microseconds, work is the sending time at full pace.
+Settings, events and actions are in interface.py; docs/design.md gives the reasons. A Router shares no state
+with others, reads no clock and uses no randomness: equal events give equal actions. Times are microseconds on
+the clock of the events. Work is the time that a transfer takes at full bandwidth.
 """
 
 from __future__ import annotations
@@ -16,153 +17,169 @@
 from onyxpulley.pending_requests import Attempt, PendingRequest
 from onyxpulley.server_state import PRIMARY_FILL_TIME_CONSTANT, Server
 
-# ---- Tuned values: unit, reason, and what half or double would do.
-MS = 1000
-MAX_CONSECUTIVE_FAILURES = (
-    3  # straight failures that mark a server down; 2 trips on chance, 6 costs twice the requests
-)
-FAILURE_SMOOTHING = (
-    0.1  # weight of one outcome in the failing share: half learns too late, double jumps at chance
-)
-EJECTION_FAILURE_RATE = (
-    0.9  # failing share that marks down; lower loses a cache for what one quick retry mends
-)
-RETRY_IN_PLACE_FAILURE_RATE = (
-    0.5  # failing share up to which an error is asked again where the copy is: half costs fills
-)
-QUICK_ERROR_TIME = 60 * MS  # an error sooner than this costs one retry and is no strike; later it is one
-CONNECTION_LOSS_WINDOW = (
-    20 * MS
-)  # ends this close together are one connection's: half splits it, double hides another
-BASE_EJECTION_TIME = (
-    2_000 * MS
-)  # first wait before a down cache is tried again; doubles up to MAX_EJECTION_TIME
-PARENT_EJECTION_TIME = 10_000 * MS  # the same for a parent (design page)
-MAX_EJECTION_TIME = (
-    10_000 * MS
-)  # longest such wait: half doubles the trials, double leaves a mended server idle
-SLOW_START_MARGIN = 0.85  # part of a cold server's allowance that is used: the rest covers chance and skew
-SLOW_START_MARGIN_UNKNOWN_SIZES = (
-    0.5  # the same where no sizes of servers are told: this one may be the smallest
-)
-LOAD_TIME_CONSTANT = 8_000 * MS  # memory of the measured load: half follows bursts, double lags after a loss
-LATE_FACTOR, LATE_MARGIN = 1.3, 60 * MS  # an attempt is looked at after 1.3 x what it should take + 60 ms
-LATE_FILL_FACTOR = (
-    4.0  # and as many times what a fill adds: half looks at live fills, double finds silence late
-)
-UNKNOWN_SIZE_FACTOR = 3.0  # allowance for an object whose size is neither told nor learned, in class means
-RETRIES_PER_REQUEST, MAX_RETRY_BUDGET = (
-    0.3,
-    60.0,
-)  # further attempts for each request, and how many may be saved up
-OVERLOAD_LATENCY_RATIO, NORMAL_LATENCY_RATIO = (
-    1.5,
-    1.2,
-)  # answers this many times their time: the part taken shrinks, or grows again
-SHARE_UPDATE_INTERVAL = (
-    1_000 * MS
-)  # least time between two changes of a part: half swings, double reacts late
-OVERLOAD_REFUSAL_RATE = (
-    0.07  # refused share of a source's fills that makes them fewer: half is no different, double jams
-)
-MIN_ADMISSION_SHARE, ADMISSION_SHARE_STEP = (
-    0.1,
-    0.06,
-)  # least part of its objects left to a crowded server; growth a step
-HIT_TIME_MARGIN = (
-    1.2  # times that a crowded cache must be quick enough: 1.0 is late in a rush, 1.5 refuses at slow
-)
-FILL_TIME_MARGIN = 1.7  # the same of a fill, which shares the link as well: 1.2 is late, 2.2 refuses too much
-REFUSAL_LATENCY_RATIO = 4.0  # what a refusal counts as, in times of the usual answer
-LATENCY_TIME_CONSTANT = (
-    3_000 * MS
-)  # memory of a cache's slowness: half lets too much in again, double refuses too long
-REPORT_TIME_CONSTANT = (
-    2_000 * MS
-)  # memory of a load report: half forgets between two, double refuses at idle caches
-OBJECT_LOAD_TIME_CONSTANT = (
-    3_000 * MS
-)  # memory of an object's own load: half is chance, double meets a rush too late
-HOT_OBJECT_SHARE = 0.5  # part of one cache's fair load that an object may be before it goes to more than one
+MS = 1000  # one millisecond, in microseconds
+
+# ---- Health checks and outlier ejection
+# Two failures in a row happen by chance; waiting for six would cost twice the requests.
+MAX_CONSECUTIVE_FAILURES = 3
+# Weight of one outcome in a server's failure rate. Less notices a fault too late, more reacts to chance.
+FAILURE_SMOOTHING = 0.1
+# A lower threshold would eject caches whose errors are mended by one quick retry.
+EJECTION_FAILURE_RATE = 0.9
+# Below this failure rate an error is retried on the same server: it has the copy, another one would fill.
+SAME_SERVER_RETRY_FAILURE_RATE = 0.5
+# An error that takes at least this long and has no note of its cause is attributed to the source of the fill.
+QUICK_ERROR_TIME = 60 * MS
+# Attempts broken this close together were on one connection, which is one failure. A shorter window would
+# count it more than once, a longer one would hide the loss of a second connection.
+CONNECTION_LOSS_WINDOW = 20 * MS
+# First ejection time of a cache, doubled up to the maximum. Also the delay of a retry of discovery.
+BASE_EJECTION_TIME = 2_000 * MS
+PARENT_EJECTION_TIME = 10_000 * MS  # see docs/design.md
+# A lower maximum would send dead servers more probes, a higher one would leave recovered servers idle.
+MAX_EJECTION_TIME = 10_000 * MS
+
+# ---- Slow start and load
+# Part of a cold server's allowance that is used: the rest covers random variation and clock skew.
+SLOW_START_BUDGET_SHARE = 0.85
+# The same where no weights of servers are known: the cold one may be the smallest.
+SLOW_START_BUDGET_SHARE_UNWEIGHTED = 0.5
+# Time constant of the measured loads. A shorter one follows bursts, a longer one lags after a server's loss.
+LOAD_TIME_CONSTANT = 8_000 * MS
+OBJECT_LOAD_TIME_CONSTANT = 3_000 * MS  # shorter: dominated by chance; longer: notices a surge too late
+# An object that is more than this part of one cache's fair share of the load is spread over several caches.
+HOT_OBJECT_SHARE = 0.5
+
+# ---- Late attempts and retries
+# An attempt is checked after LATE_FACTOR x its expected latency + LATE_FILL_FACTOR x the latency of a fill +
+# LATE_MARGIN. Less for fills would check those that go well, more would notice a silent server late.
+LATE_FACTOR = 1.3
+LATE_MARGIN = 60 * MS
+LATE_FILL_FACTOR = 4.0
+# An object whose size is neither given nor learned is expected to take this many times the mean of its class.
+UNKNOWN_SIZE_FACTOR = 3.0
+RETRIES_PER_REQUEST = 0.3  # what each request adds to the retry budget
+MAX_RETRY_BUDGET = 60.0  # retries
 FAILED_FILL_NOTES = (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.SOURCE_LACKS, Note.ORIGIN_FAILED)
-MAX_SAMPLE_WEIGHT = (
-    0.3  # weight of one sample that comes alone, at most: half learns late, double jumps at chance
-)
-OWN_COPY_AIM_SHARE = (
-    0.7  # part of the aim in which the router's own link must be done: 1.0 risks the aim in a rush
-)
-OWN_COPY_AGE_MARGIN = (
-    100 * MS
-)  # an own copy is let go so much before its age is up: it is written a little later
-CONFIRMATION_COST = 0.05  # cost of telling a client that its copy holds, as a part of the bytes
-PRIMARY_LINK_SHARE, PRIMARY_PRIOR_FILLS = (
-    0.5,
-    10.0,
-)  # part of a parent's link for what it is home to; fills first held for even
-MAX_RANKED = 64  # servers of an object that are ranked: so many are never all out of reach together
+
+# ---- Admission shares
+# Latency ratios, measured over expected: a share shrinks above the first and grows below the second.
+OVERLOAD_LATENCY_RATIO = 1.5
+NORMAL_LATENCY_RATIO = 1.2
+# Least time between two changes of a share. A shorter one oscillates, a longer one reacts late.
+SHARE_UPDATE_INTERVAL = 1_000 * MS
+# Refused share of a source's fills above which it gets fewer. Half of this made no difference; at twice this
+# sources jammed.
+OVERLOAD_REFUSAL_RATE = 0.07
+MIN_ADMISSION_SHARE = 0.1
+ADMISSION_SHARE_STEP = 0.06  # growth in one update
+REFUSAL_LATENCY_RATIO = 4.0  # the latency ratio that a refusal counts as
+# Time constant of the latency ratios. A shorter one readmits too much, a longer one refuses for too long.
+LATENCY_TIME_CONSTANT = 3_000 * MS
+# Time constant of load reports. A shorter one forgets a report before the next, a longer one refuses requests
+# for idle caches.
+REPORT_TIME_CONSTANT = 2_000 * MS
 SMOOTHING_FACTOR = 0.1  # weight of one sample in the running means
+# Greatest weight of a sample that comes alone. Less learns too slowly, more reacts to chance.
+MAX_SAMPLE_WEIGHT = 0.3
+
+# ---- Admission by expected time
+# The expected time at an overloaded cache, times this margin, must be within the time left. A margin of 1.0
+# gave late answers in a surge, 1.5 refused requests that a slow cache would have answered in time.
+HIT_TIME_MARGIN = 1.2
+# The same for fills, which also depend on the inbound link: 1.2 gave late answers, 2.2 refused too many.
+FILL_TIME_MARGIN = 1.7
+
+# ---- The router's own copies
+# Part of the aim within which the router's own link must send the answer: 1.0 would miss the aim in a surge.
+OWN_COPY_AIM_SHARE = 0.7
+# A copy is not used so shortly before it reaches its maximum age, since the answer is written a little later.
+OWN_COPY_AGE_MARGIN = 100 * MS
+CONFIRMATION_COST = 0.05  # work of confirming the client's copy, as a part of the work of sending it
+
+# ---- Ranking and the choice of a source
+# Servers ranked for an object. That many are never all unusable at the same time.
+MAX_RANKED = 64
+PRIMARY_LINK_SHARE = 0.5  # part of a parent's link for fills of the objects whose primary parent it is
+PRIMARY_PRIOR_FILLS = 10.0  # mean fills assumed to be spread evenly over the parents, before any are measured
 
 
 class Router:
+    """Decides for one router of a deployment where each request is sent and what its final answer is.
+
+    Every event goes to `handle`, which returns the actions to take. `recheck` is asked before an attempt is
+    written, `force_answer` when the program is about to end.
+    """
+
     def __init__(self, settings: api.Settings, seed: int = 0) -> None:
+        """`seed` is accepted for callers that have one; the decisions need no randomness."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
-        self.now, self.started_at, self.next_timer_token, self.subscribed = 0, -1, 1, False
-        self.actions: list[api.Action] = []
-        self.servers: dict[str, Server] = {}
+        self.now = 0
+        self.started_at = -1  # time of the first event
+        self.next_timer_token = 1
+        self.subscribed = False
+        self.actions: list[api.Action] = []  # the answer to the current event
+        self.timers: dict[int, Attempt | Server | None] = {}  # by token, see set_timer
+        self.pending_requests: dict[str, PendingRequest] = {}  # by request id
+
+        self.servers: dict[str, Server] = {}  # by server id
+        self.servers_by_role: dict[str, list[Server]] = {}  # memoised until the list changes
+        self.gone_ids: set[str] = set()  # servers that left the list and are still needed, see must_be_kept
         self.origin: Server | None = None
-        self.inbound_link = Server(api.Entry("", "", ""), "inlet")  # what all fills of this location pass
-        self.pending_requests: dict[str, PendingRequest] = {}
+        self.inbound_link = Server(api.Entry("", "", ""), "inlet")  # passed by all fills of this zone
         self.rankings: BoundedDict[tuple[str, str], tuple[Server, ...]] = BoundedDict(settings.memo)
-        self.servers_by_role: dict[str, list[Server]] = {}
-        self.gone_ids: set[str] = set()  # servers that are gone and still matter
-        self.next_share_update = 0  # before that no server's part is due for a change
-        self.mean_latency_ratios: dict[str, float] = {}  # by role, while parts are adapted
-        self.purge_times: dict[tuple[str, object], int] = {}
-        self.timers: dict[int, Attempt | Server | None] = {}
+        self.next_share_update = 0  # no server's admission share is due for a change before this time
+        self.mean_latency_ratios: dict[str, float] = {}  # by role, memoised during an update of the shares
+
+        self.purge_times: dict[tuple[str, object], int] = {}  # by ("object", name) or ("group", number)
+        # by object and part
         self.learned_work: BoundedDict[tuple[str, int], float] = BoundedDict(settings.memo)
         self.mean_work_by_class: dict[str, float] = {}
-        self.base_latency, self.fill_latency, self.retry_budget = 20.0 * MS, 75.0 * MS, MAX_RETRY_BUDGET / 2
-        self.request_load, self.served_load, self.fill_load = (
-            DecayingRate(LOAD_TIME_CONSTANT),
-            DecayingRate(LOAD_TIME_CONSTANT),
-            DecayingRate(LOAD_TIME_CONSTANT),
-        )
+        self.mean_work_per_worth = 100.0 * MS
+        self.base_latency = 20.0 * MS  # latency of a hit beyond the work of sending it
+        self.fill_latency = 75.0 * MS  # latency that a fill adds
+        self.retry_budget = MAX_RETRY_BUDGET / 2
+        self.request_load = DecayingRate(LOAD_TIME_CONSTANT)  # work of all requests
+        self.served_load = DecayingRate(LOAD_TIME_CONSTANT)  # work of all answers
+        self.fill_load = DecayingRate(LOAD_TIME_CONSTANT)  # work of all fills
         self.object_load: BoundedDict[str, DecayingRate] = BoundedDict(settings.memo)
-        self.own_link_free_at = (
-            0.0  # when all that was answered from own copies will have left this router's link
-        )
-        self.mean_work_per_worth = 100.0 * MS  # work per worth of the requests, lately
+        self.own_link_free_at = 0.0  # when this router's link will have sent all answers from its own copies
 
     def configure(self, settings: api.Settings) -> None:
-        """Other figures from now on; open jobs keep their class's, servers their roles."""
-        self.settings, self.classes = settings, {c.name: c for c in settings.classes}
+        """Replaces the settings. Pending requests keep the settings of their class, servers their roles."""
+        self.settings = settings
+        self.classes = {c.name: c for c in settings.classes}
         self.rankings.reset(settings.memo, min(MAX_RANKED, len(self.servers)))
         for table in (self.learned_work, self.object_load):
             table.max_entries = settings.memo
 
-    # ---- Ranking, membership and warm-up
+    # ---- Membership and ranking
     def ranking(self, role: str, obj: str) -> tuple[Server, ...]:
-        """The first MAX_RANKED of a role, best first. Memoised until the list changes; only nominal weights
-        enter, never live ones."""
+        """The best MAX_RANKED servers of a role for an object, best first, memoised until the list changes.
+
+        Only nominal weights count, never measured load, so that all routers agree.
+        """
         key = (role, obj)
-        found = self.rankings.get(key)
-        if found is None:
-            own = self.listed_servers(role)
+        ranking = self.rankings.get(key)
+        if ranking is None:
+            servers = self.listed_servers(role)
             weighted = self.settings.nominal_weights
-            by = scores(obj, ((s.id, s.weight if weighted else 1.0) for s in own))
-            order = nsmallest(MAX_RANKED, zip(by, own, strict=True), key=lambda row: (-row[0], row[1].id))
-            self.rankings[key] = found = tuple(server for _, server in order)
-        return found
+            values = scores(obj, ((s.id, s.weight if weighted else 1.0) for s in servers))
+            rows = zip(values, servers, strict=True)
+            best = nsmallest(MAX_RANKED, rows, key=lambda row: (-row[0], row[1].id))
+            self.rankings[key] = ranking = tuple(server for _, server in best)
+        return ranking
 
     def listed_servers(self, role: str) -> list[Server]:
-        """All servers of a role that are not gone, until the list changes."""
+        """All servers of a role that are listed, draining ones included. Memoised until the list changes."""
         if role not in self.servers_by_role:
-            own = [s for s in self.servers.values() if s.role == role and s.state != State.GONE]
-            self.servers_by_role[role] = own
+            servers = [s for s in self.servers.values() if s.role == role and s.state != State.GONE]
+            self.servers_by_role[role] = servers
         return self.servers_by_role[role]
 
     def role_of(self, entry: api.Entry) -> str:
+        """The role of a server: parent, origin, cache of this router's zone or sibling in another zone."""
         if entry.kind == self.settings.parent_kind:
             return "parent"
         if entry.kind == self.settings.origin_kind:
@@ -170,20 +187,21 @@
         return "cache" if entry.zone == self.settings.zone else "sibling"
 
     def on_listing(self, event: api.Listing) -> None:
+        """Applies a full list or changes of it. After a failure the list is requested again later."""
         if event.kind is api.ListKind.FAILED:
-            return self.set_timer(None, BASE_EJECTION_TIME)  # asks again when the timer comes
+            return self.set_timer(None, BASE_EJECTION_TIME)
         changed = event.kind in (api.ListKind.FULL, api.ListKind.CACHED)
         if changed:
-            named = {e.server for e in event.entries}
+            listed = {e.server for e in event.entries}
             for server in self.servers.values():
-                if server.id not in named:
+                if server.id not in listed:
                     server.state = State.GONE
                     self.gone_ids.add(server.id)
         for entry in event.entries:
             changed = self.apply_entry(entry) or changed
-        for gone in [i for i in self.gone_ids if not self.must_be_kept(self.servers[i])]:
-            del self.servers[gone]
-            self.gone_ids.discard(gone)
+        for server_id in [i for i in self.gone_ids if not self.must_be_kept(self.servers[i])]:
+            del self.servers[server_id]
+            self.gone_ids.discard(server_id)
         if changed:
             self.next_share_update = 0
             self.servers_by_role.clear()
@@ -194,225 +212,250 @@
             self.actions.append(api.Subscribe())
 
     def apply_entry(self, entry: api.Entry) -> bool:
-        """One line of the list. Does it change what the ranks rest on? No drain, nothing elsewhere."""
+        """Applies one entry of the list; true if it changes a ranking, which drains and siblings do not."""
         if entry.server not in self.servers:
             self.servers[entry.server] = Server(entry, self.role_of(entry))
         server = self.servers[entry.server]
         before = server.state == State.GONE, server.weight
         server.weight = entry.weight if entry.weight > 0 else 1.0
-        fresh = entry.started > 0 and entry.started != server.started
-        if fresh or (server.state == State.GONE and entry.state == State.READY):
-            young = entry.started > 0 and self.now - entry.cold_since < self.slow_start_time(server)
-            server.reset(entry.cold_since if young else 0)
+        restarted = entry.started > 0 and entry.started != server.started
+        if restarted or (server.state == State.GONE and entry.state == State.READY):
+            cold = entry.started > 0 and self.now - entry.cold_since < self.slow_start_time(server)
+            server.reset(entry.cold_since if cold else 0)
             self.next_share_update = 0
-            if young and self.now < self.started_at + self.settings.cold_window:
-                server.slow_start_work.add(
-                    self.started_at, self.slow_start_allowance(server)
-                )  # as the process before it did
-        server.started, server.state = entry.started, entry.state
+            if cold and self.now < self.started_at + self.settings.cold_window:
+                # the process that this router replaced may have used up the allowance
+                server.slow_start_work.add(self.started_at, self.slow_start_allowance(server))
+        server.started = entry.started
+        server.state = entry.state
         if entry.state == State.GONE:
             self.gone_ids.add(entry.server)
         else:
             self.gone_ids.discard(entry.server)
         return server.role != "sibling" and before != (server.state == State.GONE, server.weight)
 
+    def must_be_kept(self, gone: Server) -> bool:
+        """Whether a gone server is still needed, for attempts in flight or its slow start window."""
+        window = self.settings.cold_window
+        return bool(gone.in_flight) or gone.slow_start_work.has_work_within(self.now, window)
+
+    # ---- Slow start and capacity
     def slow_start_time(self, server: Server) -> int:
+        """How long a server counts as cold after its start."""
         return self.settings.parent_cold_time if server.role == "parent" else self.settings.cold_time
 
     def slow_start_factor(self, server: Server) -> float:
-        """Least part of its capacity that a server has by now: the climb is told nowhere, so the slowest."""
-        if not server.slow_start_since or server.role == "origin":  # asked very often, and mostly this
+        """The part of its capacity that a server surely has by now, 1.0 when it is warm.
+
+        How the capacity of a cold server grows is not reported, so the slowest growth, a linear one, is
+        assumed.
+        """
+        if not server.slow_start_since or server.role == "origin":  # the common case, on a hot path
             return 1.0
-        age, whole = self.now - server.slow_start_since, self.slow_start_time(server)
-        least = self.settings.parent_cold_from if server.role == "parent" else self.settings.cold_from
-        return least + (1.0 - least) * min(1.0, max(0, age) / whole)
+        age = self.now - server.slow_start_since
+        duration = self.slow_start_time(server)
+        initial = self.settings.parent_cold_from if server.role == "parent" else self.settings.cold_from
+        return initial + (1.0 - initial) * min(1.0, max(0, age) / duration)
 
     def capacity_share(self, server: Server) -> float:
-        """This router's share of a server's capacity: from its nominal link, else from what one such server
-        answers for this router. Never from what is asked: clients' repeats swell it (incident i341efe)."""
-        parent = server.role == "parent"
-        sharers = self.settings.routers if parent else self.settings.zone_routers
+        """This router's share of a server's capacity, in work per time.
+
+        From the server's nominal weight or, where none is given, from what a server of its role answers for
+        this router. Never from what is requested, which grows when clients repeat refused requests (incident
+        i341efe).
+        """
+        is_parent = server.role == "parent"
+        sharers = self.settings.routers if is_parent else self.settings.zone_routers
         if self.settings.nominal_weights:
             return server.weight / max(1, sharers)
         peers = sum(s.role == server.role and s.state == State.READY for s in self.servers.values())
-        return (self.fill_load if parent else self.served_load).rate(self.now) / max(1, peers)
+        return (self.fill_load if is_parent else self.served_load).rate(self.now) / max(1, peers)
 
-    def replica_count(self, obj: str, caches: int) -> int:
-        """How many of its first caches an object goes to: one, but for an object that alone is a good part of
-        a cache's fair load. Guards against rushes on one object, which would crowd its home and, by its part,
-        drive the home's other objects out. Costs one fill for each further cache."""
-        heat = self.object_load[obj].decayed_rate(self.now) if obj in self.object_load else 0.0
-        fair = HOT_OBJECT_SHARE * self.request_load.rate(self.now) / max(1, caches)
-        return min(caches, 1 + int(heat / fair)) if fair > 0 else 1
+    def slow_start_allowance(self, server: Server) -> float:
+        """This router's share of the work that a cold server may be sent in one window."""
+        factor = self.slow_start_factor(server)
+        is_parent = server.role == "parent"
+        multiple = self.settings.parent_cold_multiple if is_parent else self.settings.cold_multiple
+        weighted = self.settings.nominal_weights
+        budget_share = SLOW_START_BUDGET_SHARE if weighted else SLOW_START_BUDGET_SHARE_UNWEIGHTED
+        return budget_share * multiple * factor * self.capacity_share(server) * self.settings.cold_window
 
     def within_slow_start_budget(self, server: Server, work: float) -> bool:
-        """Rule 4: against all routers together pushing over a cold server, each keeps to its share of the
-        allowance in any window. Counts every attempt, so also guards against bursts of misses and retries.
-        Hurts when this router has more than its share of the load: objects stay with the next in rank."""
+        """The slow start rule (rule 4): whether a cold server may be sent this work now.
+
+        Each router keeps to its share of the allowance in any window, so that all routers together do not
+        overload a cold server. Every attempt counts, which also limits bursts of misses and retries. A router
+        with more than its share of the load pays for it: objects stay with the next server of their ranking.
+        """
         if self.slow_start_factor(server) >= 1.0:
             return True
         spent = server.slow_start_work.total_within(self.now, self.settings.cold_window)
         return spent + work <= self.slow_start_allowance(server)
 
-    def slow_start_allowance(self, server: Server) -> float:
-        """This router's share of the work that a cold server may be sent in one window."""
-        warmth = self.slow_start_factor(server)
-        multiple = (
-            self.settings.parent_cold_multiple if server.role == "parent" else self.settings.cold_multiple
-        )
-        part = SLOW_START_MARGIN if self.settings.nominal_weights else SLOW_START_MARGIN_UNKNOWN_SIZES
-        return part * multiple * warmth * self.capacity_share(server) * self.settings.cold_window
-
     def record_slow_start_work(self, server: Server, work: float) -> None:
+        """Counts work against the allowance of a server, if it is cold."""
         if self.slow_start_factor(server) < 1.0:
             server.slow_start_work.add(self.now, work)
 
-    def must_be_kept(self, gone: Server) -> bool:
-        """Still matters: something is out there, or was booked within the window. Else it is forgotten."""
-        return bool(gone.in_flight) or gone.slow_start_work.has_work_within(
-            self.now, self.settings.cold_window
-        )
+    # ---- Admission shares and latency ratios
+    def admits(self, server: Server, pending: PendingRequest, work: float) -> bool:
+        """Whether the object is in the share that a cold or overloaded server is sent.
 
-    def admits(self, server: Server, job: PendingRequest, work: float) -> bool:
-        """A cold or crowded server takes a part of its objects, by one hash at every router. Guards against
-        small, slow or hot caches and joint misses; hurts by second copies of what moves meanwhile."""
-        part = server.admission_share * self.slow_start_factor(server)
-        if part >= 1.0:
+        Every router uses the same hash, so all agree on the objects. This protects small, slow and hot caches
+        and avoids simultaneous misses; the cost is a second copy of each object that moves meanwhile.
+        """
+        share = server.admission_share * self.slow_start_factor(server)
+        if share >= 1.0:
             return True
-        value = 1.0 if server.role == "cache" else job.relative_worth
-        return admission_hash(job.request.object, server.id) < part * value and self.within_slow_start_budget(
-            server, work
-        )
+        worth = 1.0 if server.role == "cache" else pending.relative_worth
+        in_share = admission_hash(pending.request.object, server.id) < share * worth
+        return in_share and self.within_slow_start_budget(server, work)
 
     def update_admission_shares(self) -> None:
+        """Updates the admission shares of all caches, all parents and the origin."""
         self.mean_latency_ratios.clear()
-        known = [
-            *self.listed_servers("cache"),
-            *self.listed_servers("parent"),
-            *([self.origin] if self.origin else []),
-        ]
-        for server in known:
+        servers = [*self.listed_servers("cache"), *self.listed_servers("parent")]
+        servers += [self.origin] if self.origin else []
+        for server in servers:
             self.update_admission_share(server)
-        self.next_share_update = (
-            min((s.share_updated_at for s in known), default=self.now) + SHARE_UPDATE_INTERVAL
-        )
-
-    def mean_latency_ratio(self, role: str) -> float:
-        """Of the usable servers of a role."""
-        if role not in self.mean_latency_ratios:
-            peers = [self.current_latency_ratio(s) for s in self.listed_servers(role) if self.is_usable(s)]
-            self.mean_latency_ratios[role] = sum(peers) / max(1, len(peers))
-        return self.mean_latency_ratios[role]
+        oldest = min((s.share_updated_at for s in servers), default=self.now)
+        self.next_share_update = oldest + SHARE_UPDATE_INTERVAL
 
     def update_admission_share(self, server: Server) -> None:
-        """Slower than its like: others can do better. Sources that refuse: their fills must become fewer."""
+        """Shrinks or grows the share of its objects that a server is sent, at most once per interval.
+
+        It shrinks if the server is slower than its peers, which can take over, or if it refuses fills: a
+        source must then get fewer.
+        """
         if self.now - server.share_updated_at < SHARE_UPDATE_INTERVAL:
             return
         server.share_updated_at = self.now
         excess = self.current_latency_ratio(server) / max(1.0, self.mean_latency_ratio(server.role))
-        full = server.refusal_rate * self.latency_sample_weight(server) if server.role != "cache" else 0.0
-        if excess > OVERLOAD_LATENCY_RATIO or full > OVERLOAD_REFUSAL_RATE:
-            server.admission_share = max(
-                MIN_ADMISSION_SHARE,
-                server.admission_share * max(0.7, min(OVERLOAD_LATENCY_RATIO / excess, 1.0 - full)),
-            )
+        refusals = server.refusal_rate * self.latency_sample_weight(server) if server.role != "cache" else 0.0
+        if excess > OVERLOAD_LATENCY_RATIO or refusals > OVERLOAD_REFUSAL_RATE:
+            factor = max(0.7, min(OVERLOAD_LATENCY_RATIO / excess, 1.0 - refusals))
+            server.admission_share = max(MIN_ADMISSION_SHARE, server.admission_share * factor)
         elif excess < NORMAL_LATENCY_RATIO:
             server.admission_share = min(1.0, server.admission_share + ADMISSION_SHARE_STEP)
 
-    def record_latency(self, server: Server, ratio: float, full: bool = False) -> None:
-        """One sample of how long a server takes, and whether it refused. One that comes alone weighs more."""
+    def mean_latency_ratio(self, role: str) -> float:
+        """Mean of the current latency ratios of a role's usable servers, memoised during an update."""
+        if role not in self.mean_latency_ratios:
+            ratios = [self.current_latency_ratio(s) for s in self.listed_servers(role) if self.is_usable(s)]
+            self.mean_latency_ratios[role] = sum(ratios) / max(1, len(ratios))
+        return self.mean_latency_ratios[role]
+
+    def record_latency(self, server: Server, ratio: float, refused: bool = False) -> None:
+        """Adds a sample of measured over expected latency; after a pause one weighs more."""
         weight = min(MAX_SAMPLE_WEIGHT, max(SMOOTHING_FACTOR, 1.0 - self.latency_sample_weight(server)))
         server.latency_ratio += weight * (min(10.0, ratio) - server.latency_ratio)
-        server.refusal_rate += SMOOTHING_FACTOR * (full - server.refusal_rate)
+        server.refusal_rate += SMOOTHING_FACTOR * (refused - server.refusal_rate)
         server.latency_sampled_at = self.now
 
     def latency_sample_weight(self, server: Server) -> float:
+        """How much a server's latency samples still count: 1.0 at the time of the last one, then decaying."""
         return math.exp((server.latency_sampled_at - self.now) / LATENCY_TIME_CONSTANT)
 
     def current_latency_ratio(self, server: Server) -> float:
-        """Times of the usual answer, forgotten when nothing is asked, so that a refused server is tried."""
+        """Measured over expected latency, by recent answers.
+
+        Returns to 1.0 while there are no answers, so that a server that got no requests is tried again.
+        """
         return 1.0 + (server.latency_ratio - 1.0) * self.latency_sample_weight(server)
 
     def expected_latency_ratio(self, server: Server) -> float:
-        """Times of the usual answer that a cache needs for what is sent now: what it holds by its last report
-        and what this router has there, less the part that waits for sources, over its link. Slowness speaks
-        of what was sent before: it lets a rush in, and refuses at idle caches when that is over."""
+        """The latency ratio that a cache would have for a request sent now, by its load.
+
+        The load is what other routers have there by its last load report and what this router has in flight,
+        less the part that waits for sources. Without reports it is the measured ratio. That one speaks of
+        requests sent earlier, so it admits too many in a surge and refuses requests for idle caches after it.
+        """
         if not server.load_reported_at or not self.settings.nominal_weights or server.role != "cache":
             return self.current_latency_ratio(server)
         others = server.load_of_others * math.exp((server.load_reported_at - self.now) / REPORT_TIME_CONSTANT)
-        moving = max(0.0, 1.0 - server.mean_source_wait / server.mean_latency)
-        return max(1.0, (len(server.in_flight) + others) * moving / server.weight)
+        sending = max(0.0, 1.0 - server.mean_source_wait / server.mean_latency)
+        return max(1.0, (len(server.in_flight) + others) * sending / server.weight)
+
+    def replica_count(self, obj: str, caches: int) -> int:
+        """Over how many of its first caches an object is spread: 1 unless it is hot.
+
+        A surge on one object would overload its first cache and, by the admission share, drive the cache's
+        other objects out. Each further cache costs one fill.
+        """
+        load = self.object_load[obj].decayed_rate(self.now) if obj in self.object_load else 0.0
+        hot = HOT_OBJECT_SHARE * self.request_load.rate(self.now) / max(1, caches)
+        return min(caches, 1 + int(load / hot)) if hot > 0 else 1
 
     # ---- Health of caches, parents and origin
     def is_usable(self, server: Server) -> bool:
-        """Ready and believed up; a down one whose wait is over takes one request as its trial."""
+        """Whether a server may be sent requests: ready and not ejected.
+
+        An ejected server whose ejection time is over gets one request as a probe, unless only a successful
+        active probe reinstates it. The origin is usable whenever it is ready.
+        """
         if server.state != State.READY:
             return False
         if not server.ejected_until or server.role == "origin":
             return True
-        probed = self.settings.probes and server.unresponsive
-        return self.now >= server.ejected_until and not server.probe_in_flight and not probed
+        needs_active_probe = self.settings.probes and server.unresponsive
+        return self.now >= server.ejected_until and not server.probe_in_flight and not needs_active_probe
 
-    def record_failure(self, server: Server, lost: bool = False, quick: bool = False) -> None:
-        """One failure that speaks of this server. Three straight ones mark it down; quick errors only when
-        they are nearly all it gives: what it does answer spares the others, who would be crowded without."""
-        server.consecutive_failures += not quick
+    def record_failure(self, server: Server, unresponsive: bool = False, error_answer: bool = False) -> None:
+        """Records a failure that a server is responsible for, and ejects it after too many.
+
+        Error answers count for the failure rate only, not as consecutive failures: a server that answers some
+        requests still spares the others, which would be overloaded without it.
+        """
+        server.consecutive_failures += not error_answer
         server.failure_rate += FAILURE_SMOOTHING * (1.0 - server.failure_rate)
-        server.unresponsive = server.unresponsive or lost
+        server.unresponsive = server.unresponsive or unresponsive
+        too_many_failures = server.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
         if server.ejected_until:
             if server.probe_in_flight or self.now >= server.ejected_until:
                 self.eject(server)
-        elif (
-            server.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
-            or server.failure_rate > EJECTION_FAILURE_RATE
-        ):
+        elif too_many_failures or server.failure_rate > EJECTION_FAILURE_RATE:
             self.eject(server)
 
     def eject(self, server: Server) -> None:
+        """Ejects a server, each time for longer. If it does not respond, its attempts are sent elsewhere."""
         if not server.ejected_until and server.role != "origin":
-            self.actions.append(
-                api.Log(f"{server.role} {server.id} down after {server.consecutive_failures} failures")
-            )
-        server.ejection_time = min(
-            MAX_EJECTION_TIME,
-            max(
-                PARENT_EJECTION_TIME if server.role == "parent" else BASE_EJECTION_TIME,
-                2 * server.ejection_time,
-            ),
-        )
-        server.ejected_until, server.probe_in_flight = self.now + server.ejection_time, False
+            failures = server.consecutive_failures
+            self.actions.append(api.Log(f"{server.role} {server.id} down after {failures} failures"))
+        shortest = PARENT_EJECTION_TIME if server.role == "parent" else BASE_EJECTION_TIME
+        server.ejection_time = min(MAX_EJECTION_TIME, max(shortest, 2 * server.ejection_time))
+        server.ejected_until = self.now + server.ejection_time
+        server.probe_in_flight = False
         if self.settings.probes and server.unresponsive:
             self.set_timer(server, server.ejection_time)
         for attempt in list(server.in_flight.values()):
             if server.unresponsive and attempt.server is server:
                 self.reissue(attempt)
 
-    def record_success(self, server: Server, sent: int) -> None:
-        """An answer. Only one to what was sent after the server's wait lifts it: older ones prove nothing."""
+    def record_success(self, server: Server, sent_at: int) -> None:
+        """Records an answer to an attempt. An ejection is lifted only by one that was sent after its end."""
         server.answered_at = self.now
-        if server.ejected_until and sent < server.ejected_until:
+        if server.ejected_until and sent_at < server.ejected_until:
             return
         server.consecutive_failures = 0
         server.failure_rate *= 1.0 - FAILURE_SMOOTHING
         if server.ejected_until:
             self.reinstate(server)
-        server.unresponsive = False  # it lives, so what goes wrong later is no restart
+        server.unresponsive = False  # it answers, so a later failure does not mean a restart
 
     def reinstate(self, server: Server) -> None:
-        """A server that was lost may have restarted before the list says so: it counts as cold from now."""
+        """Ends an ejection. A server that did not respond may have restarted, so it counts as cold."""
         if server.role != "origin":
             self.actions.append(api.Log(f"{server.role} {server.id} up again"))
             if server.unresponsive and self.slow_start_factor(server) >= 1.0:
                 server.slow_start_since = self.now
-        server.ejected_until, server.probe_in_flight, server.unresponsive, server.failure_rate = (
-            0,
-            False,
-            False,
-            EJECTION_FAILURE_RATE / 2,
-        )
+        server.ejected_until = 0
+        server.probe_in_flight = False
+        server.unresponsive = False
+        server.failure_rate = EJECTION_FAILURE_RATE / 2
         server.consecutive_failures = 0
 
     def on_probed(self, event: api.Probed) -> None:
+        """Reinstates or ejects a server by the result of an active probe; a refusal is an answer too."""
         server = self.servers.get(event.server)
         if server is None or not server.probe_in_flight:
             return
@@ -422,251 +465,274 @@
         else:
             self.eject(server)
 
-    # ---- Purge bounds
+    # ---- Purges
     def on_purged(self, event: api.Purged) -> None:
+        """Records when an object or group was purged."""
         if len(self.purge_times) > self.settings.memo:
             self.purge_times = {k: t for k, t in self.purge_times.items() if not self.is_purge_complete(t)}
         key = ("object", event.object) if event.object else ("group", event.group)
         self.purge_times[key] = max(self.purge_times.get(key, -(2**62)), self.now - event.age)
 
     def is_purge_complete(self, purged_at: int) -> bool:
+        """Whether no copy from before a purge can be left anywhere."""
         return self.now - purged_at > self.settings.purge_done + self.settings.purge_grace
 
-    def max_age(self, job: PendingRequest) -> int:
-        """Rule 5: the oldest copy that will do, bounded by the time since a purge until none can be left.
-        0 means 'no bound' to a cache, so a bound is at least 1."""
-        cls, req = job.cls, job.request
-        age = cls.fresh + cls.grace if job.accepts_stale and cls.fresh and cls.grace else 0
-        for key in (("object", req.object), ("group", req.group), ("group", None)):
-            at = self.purge_times.get(key)
-            if at is not None and not self.is_purge_complete(at):
-                bound = max(1, self.now - at - 1)
-                age = min(age or cls.fresh or bound, bound)
+    def max_age(self, pending: PendingRequest) -> int:
+        """The greatest age of a copy that may answer the request (rule 5), 0 for no limit.
+
+        Until a purge is complete, no copy may be older than the purge. A limit is at least 1, since caches
+        read 0 as no limit.
+        """
+        cls = pending.cls
+        request = pending.request
+        age = cls.fresh + cls.grace if pending.accepts_stale and cls.fresh and cls.grace else 0
+        for key in (("object", request.object), ("group", request.group), ("group", None)):
+            purged_at = self.purge_times.get(key)
+            if purged_at is not None and not self.is_purge_complete(purged_at):
+                limit = max(1, self.now - purged_at - 1)
+                age = min(age or cls.fresh or limit, limit)
         return age
 
-    # ---- Admission
-    def estimated_work(self, req: api.Request) -> float:
-        """Sending time at full pace: from the told size, else learned from hits, else the class mean."""
-        if req.size_kb > 0 and self.settings.flow_kb_per_s > 0:
-            return req.size_kb / self.settings.flow_kb_per_s * 1e6
-        return self.learned_work.get((req.object, req.part), self.mean_work_by_class.get(req.cls, 100.0 * MS))
-
-    def mean_work(self, req: api.Request) -> float:
-        """Rule 4 counts each attempt at a cache with the mean of its class, however small it is."""
-        return self.mean_work_by_class.get(req.cls, self.estimated_work(req))
-
-    def has_known_size(self, req: api.Request) -> bool:
-        return req.size_kb > 0 and self.settings.flow_kb_per_s > 0
-
-    def refuse_or_fail(self, job: PendingRequest) -> None:
-        """The final answer, at once. A refusal promises that nothing ran."""
-        for attempt in job.open_attempts.values():
+    # ---- Admission by expected time
+    def estimated_work(self, request: api.Request) -> float:
+        """Work of sending the object: by its given size, else learned by hits, else the mean of its class."""
+        if self.has_known_size(request):
+            return request.size_kb / self.settings.flow_kb_per_s * 1e6
+        mean = self.mean_work_by_class.get(request.cls, 100.0 * MS)
+        return self.learned_work.get((request.object, request.part), mean)
+
+    def mean_work(self, request: api.Request) -> float:
+        """Mean work of the request's class, by which the slow start rule counts every attempt at a cache."""
+        return self.mean_work_by_class.get(request.cls, self.estimated_work(request))
+
+    def has_known_size(self, request: api.Request) -> bool:
+        """Whether the work follows from the size that came with the request."""
+        return request.size_kb > 0 and self.settings.flow_kb_per_s > 0
+
+    def refuse_or_fail(self, pending: PendingRequest) -> None:
+        """Gives the final answer now. A refused request never ran, or may be repeated without harm."""
+        for attempt in pending.open_attempts.values():
             self.cancel_attempt(attempt)
-        cls = job.cls
-        if (
-            cls.effect is Effect.SAFE
-            or not job.may_have_run
-            or (cls.effect is Effect.KEYED and cls.group == "all")
-        ):
-            back = min(self.settings.max_come_back, 500 * MS) if self.settings.come_back else 0
-            self.actions.append(api.Refuse(job.request.id, back))
+        cls = pending.cls
+        repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group == "all")
+        if repeatable or not pending.may_have_run:
+            retry_after = min(self.settings.max_come_back, 500 * MS) if self.settings.come_back else 0
+            self.actions.append(api.Refuse(pending.request.id, retry_after))
         else:
-            self.actions.append(api.Fail(job.request.id))
-        self.pending_requests.pop(job.request.id, None)
-
-    def would_be_in_time(self, job: PendingRequest, server: Server, fill: bool = False) -> bool:
-        """Admission: a crowded cache is passed over by what it would answer too late, large ones first, by
-        the aim; with every cache crowded it is refused, so that the rest is in time. Hurts while the slowness
-        is remembered but over. A late answer of a cache that isn't crowded is still worth something."""
-        work, slowness = self.estimated_work(job.request), self.expected_latency_ratio(server)
-        left = min(
-            job.cls.aim + job.cls.aim_stretch * work - (self.now - job.arrived_at), job.deadline - self.now
-        )
+            self.actions.append(api.Fail(pending.request.id))
+        self.pending_requests.pop(pending.request.id, None)
+
+    def would_be_in_time(self, pending: PendingRequest, server: Server, fill: bool = False) -> bool:
+        """Whether an answer may be expected in time where the cache or, for a fill, the link is overloaded.
+
+        An overloaded cache is passed over by requests that it would answer after their aim, large ones first.
+        If all caches are overloaded they are refused, so that the others are in time. This refuses too much
+        while an overload is over but its latency ratio has not decayed. Always true without an overload,
+        since a late answer is still worth something.
+        """
+        work = self.estimated_work(pending.request)
+        ratio = self.expected_latency_ratio(server)
+        aim = pending.cls.aim + pending.cls.aim_stretch * work
+        left = min(aim - (self.now - pending.arrived_at), pending.deadline - self.now)
         if fill:
-            inlet, whole = (
-                self.current_latency_ratio(self.inbound_link),
-                (work + self.base_latency) * slowness + self.fill_latency,
+            link_ratio = self.current_latency_ratio(self.inbound_link)
+            expected = (work + self.base_latency) * ratio + self.fill_latency
+            return (link_ratio <= OVERLOAD_LATENCY_RATIO or expected * link_ratio <= left) and (
+                ratio <= OVERLOAD_LATENCY_RATIO or FILL_TIME_MARGIN * expected <= left
             )
-            return (inlet <= OVERLOAD_LATENCY_RATIO or whole * inlet <= left) and (
-                slowness <= OVERLOAD_LATENCY_RATIO or FILL_TIME_MARGIN * whole <= left
-            )
-        return (
-            slowness <= OVERLOAD_LATENCY_RATIO
-            or HIT_TIME_MARGIN * (work + self.base_latency) * slowness <= left
-        )
-
-    # ---- Choice of cache and source
-    def choose_server(self, job: PendingRequest) -> Server | None:
-        req, work = job.request, self.mean_work(job.request)
-        if (
-            job.cls.uncached
-            and self.settings.direct
-            and self.origin
-            and self.origin.id not in job.excluded_ids
-        ):
-            return self.origin if self.may_send_to(job, self.origin) else None
-        ranked = self.ranking("cache", req.object)
-        spread = self.replica_count(req.object, len(self.listed_servers("cache"))) if req.object else 1
-        if spread > 1:  # the hot object's first few, the least busy of them first
-            first = sorted(ranked[:spread], key=lambda s: (len(s.in_flight) + 1) * s.latency_ratio)
-            ranked = (*first, *ranked[spread:])
-        fit = [
+        expected = HIT_TIME_MARGIN * (work + self.base_latency) * ratio
+        return ratio <= OVERLOAD_LATENCY_RATIO or expected <= left
+
+    # ---- Choice of server and source
+    def choose_server(self, pending: PendingRequest) -> Server | None:
+        """The server of the next attempt, None if there is none that may take it.
+
+        That is the first cache of the object's ranking that admits the object and would be in time, else the
+        least loaded one that would be in time, else a source directly if the settings allow it.
+        """
+        request = pending.request
+        work = self.mean_work(request)
+        may_go_to_origin = pending.cls.uncached and self.settings.direct
+        if may_go_to_origin and self.origin and self.origin.id not in pending.excluded_ids:
+            return self.origin if self.may_send_to(pending, self.origin) else None
+        ranking = self.ranking("cache", request.object)
+        replicas = 1
+        if request.object:
+            replicas = self.replica_count(request.object, len(self.listed_servers("cache")))
+        if replicas > 1:  # among the caches of a hot object the least busy first
+            first = sorted(ranking[:replicas], key=lambda s: (len(s.in_flight) + 1) * s.latency_ratio)
+            ranking = (*first, *ranking[replicas:])
+        usable = [
             s
-            for s in ranked
-            if s.id not in job.excluded_ids and self.may_send_to(job, s) and self.is_usable(s)
+            for s in ranking
+            if s.id not in pending.excluded_ids and self.may_send_to(pending, s) and self.is_usable(s)
         ]
-        for server in fit:
-            if self.admits(server, job, work) and self.would_be_in_time(job, server):
+        for server in usable:
+            if self.admits(server, pending, work) and self.would_be_in_time(pending, server):
                 return server
-        for server in sorted(
-            fit, key=self.expected_latency_ratio
-        ):  # each is out of its part: the least crowded
-            if self.within_slow_start_budget(server, work) and self.would_be_in_time(job, server):
+        for server in sorted(usable, key=self.expected_latency_ratio):  # none admits the object
+            if self.within_slow_start_budget(server, work) and self.would_be_in_time(pending, server):
                 return server
-        if self.settings.direct and (
-            not fit or self.current_latency_ratio(self.inbound_link) <= OVERLOAD_LATENCY_RATIO
-        ):
-            past = self.choose_source(job, 1.0, None)
-            return past if past is not None and self.may_send_to(job, past) else None
+        link_ratio = self.current_latency_ratio(self.inbound_link)
+        if self.settings.direct and (not usable or link_ratio <= OVERLOAD_LATENCY_RATIO):
+            source = self.choose_source(pending, 1.0, None)
+            return source if source is not None and self.may_send_to(pending, source) else None
         return None
 
-    def may_send_to(self, job: PendingRequest, server: Server) -> bool:
-        """Rule 2: where may a request go that might have run?"""
-        if not job.may_have_run or job.cls.effect is Effect.SAFE:
+    def may_send_to(self, pending: PendingRequest, server: Server) -> bool:
+        """Whether a request may be sent to a server, given where it may have run already (rule 2).
+
+        A keyed request may be repeated within its window, among the servers that drop repeats together: those
+        of a cell, of a zone or all.
+        """
+        cls = pending.cls
+        if not pending.may_have_run or cls.effect is Effect.SAFE:
             return True
-        if job.cls.effect is Effect.UNSAFE or job.may_have_run_on is None:
+        if cls.effect is Effect.UNSAFE or pending.may_have_run_on is None:
             return False
-        if self.now - job.may_have_run_since >= job.cls.repeat_window:
+        if self.now - pending.may_have_run_since >= cls.repeat_window:
             return False
-        if job.cls.group == "cell":
-            return server.cell == job.may_have_run_on.cell
-        return job.cls.group == "all" or server.zone == job.may_have_run_on.zone
-
-    def choose_source(self, job: PendingRequest, reach: float, server: Server | None) -> Server | None:
-        """The listed parent, ready and believed up, with the highest hash; the origin when there is none.
-        None where those that are up do not take it: past them, all objects together would jam the origin."""
-        work = self.estimated_work(job.request) * reach
-        if server is not None and not job.cls.uncached and not self.would_be_in_time(job, server, fill=True):
-            return None
-        up = [p for p in self.ranking("parent", job.request.object) if self.is_usable(p)]
-        for parent in self.source_order(job, up):
-            if parent.id not in job.excluded_ids and self.admits(parent, job, work):
+        if cls.group == "cell":
+            return server.cell == pending.may_have_run_on.cell
+        return cls.group == "all" or server.zone == pending.may_have_run_on.zone
+
+    def choose_source(self, pending: PendingRequest, miss_rate: float, cache: Server | None) -> Server | None:
+        """Where a cache fills a miss from, or which source is asked directly if `cache` is None.
+
+        The first usable parent of the object that admits it. The origin only if no parent is usable and warm.
+        None if parents refuse it: going past them, all objects together would overload the origin.
+        """
+        work = self.estimated_work(pending.request) * miss_rate
+        if cache is not None and not pending.cls.uncached:
+            in_time = self.would_be_in_time(pending, cache, fill=True)
+            if not in_time:
+                return None
+        parents = [p for p in self.ranking("parent", pending.request.object) if self.is_usable(p)]
+        for parent in self.source_order(pending, parents):
+            if parent.id not in pending.excluded_ids and self.admits(parent, pending, work):
                 return parent
-        if (
-            self.origin
-            and self.origin.id not in job.excluded_ids
-            and all(self.slow_start_factor(p) < 1.0 for p in up)
-        ):
-            return self.origin if self.admits(self.origin, job, work) else None
+        none_warm = all(self.slow_start_factor(p) < 1.0 for p in parents)
+        if self.origin and self.origin.id not in pending.excluded_ids and none_warm:
+            return self.origin if self.admits(self.origin, pending, work) else None
         return None
 
-    def source_order(self, job: PendingRequest, up: list[Server]) -> list[Server]:
-        """Its object's parent, then others by a hash of object and part. One that is home to more than half
-        its link or, while fills are late, than its link's share keeps that only. Guards against a hot object,
-        whose fills jam one link: a router learns of that too late. Hurts by second copies at parents."""
-        name, told = f"{job.request.object}/{job.request.part}", self.settings.nominal_weights
-        others, late = set(up[1:]), self.current_latency_ratio(self.inbound_link) > NORMAL_LATENCY_RATIO
+    def source_order(self, pending: PendingRequest, parents: list[Server]) -> list[Server]:
+        """The usable parents in the order in which an object's part is tried.
+
+        The primary parent of the object is first, then the others by a hash of object and part. If its
+        primary fills take more than half of its link, as all routers together would send them, or while fills
+        are late more than its share of all fills, it keeps only that much of the parts, by another hash.
+        Otherwise the fills of a hot object jam one link, which a router notices too late. The cost is second
+        copies at parents.
+        """
+        name = f"{pending.request.object}/{pending.request.part}"
+        weighted = self.settings.nominal_weights
+        others = set(parents[1:])
+        fills_late = self.current_latency_ratio(self.inbound_link) > NORMAL_LATENCY_RATIO
         rest = [p for p in self.ranking("parent", name) if p in others]
-        if not rest or not (late or told) or not up[0].primary_fills.first_at:
-            return up[:1] + rest
-        home, few = (
-            up[0].primary_fills,
-            PRIMARY_PRIOR_FILLS * self.mean_work_per_worth / PRIMARY_FILL_TIME_CONSTANT,
-        )
-        fair = up[0].weight / sum(p.weight for p in up) if told else 1.0 / len(up)
-        every = few + sum(p.primary_fills.decayed_rate(self.now) for p in up)
-        keep = fair * every / max(1e-9, fair * few + home.decayed_rate(self.now))
-        if not late:  # what all routers send it, if each sends as much as this one
-            keep = max(
-                keep,
-                PRIMARY_LINK_SHARE * up[0].weight / self.settings.routers / max(1e-9, home.rate(self.now)),
-            )
-        return up[:1] + rest if admission_hash(name, up[0].id) < keep else rest + up[:1]
-
-    def may_fill_from_origin(self, source: Server, job: PendingRequest, work: float) -> bool:
-        """May a parent fetch what it lacks? Not the part that a refusing origin does not take."""
-        return source is self.origin or self.origin is None or self.admits(self.origin, job, work)
-
-    # ---- Attempts, time-outs, retries, hedges
-    def on_request(self, req: api.Request) -> None:
-        cls = self.classes.get(req.cls) or api.ClassSettings(req.cls, req.time_left, req.time_left)
-        job = PendingRequest(req, cls, self.now)
-        if self.reserve_own_copy(job):
-            self.actions.append(api.Own(req.id))
+        if not rest or not (fills_late or weighted) or not parents[0].primary_fills.first_at:
+            return parents[:1] + rest
+        primary = parents[0]
+        fills = primary.primary_fills
+        prior = PRIMARY_PRIOR_FILLS * self.mean_work_per_worth / PRIMARY_FILL_TIME_CONSTANT
+        fair_share = primary.weight / sum(p.weight for p in parents) if weighted else 1.0 / len(parents)
+        all_fills = prior + sum(p.primary_fills.decayed_rate(self.now) for p in parents)
+        kept_share = fair_share * all_fills / max(1e-9, fair_share * prior + fills.decayed_rate(self.now))
+        if not fills_late:  # assuming that every router sends as much as this one
+            link_share = PRIMARY_LINK_SHARE * primary.weight / self.settings.routers
+            kept_share = max(kept_share, link_share / max(1e-9, fills.rate(self.now)))
+        return parents[:1] + rest if admission_hash(name, primary.id) < kept_share else rest + parents[:1]
+
+    def may_fill_from_origin(self, source: Server, pending: PendingRequest, work: float) -> bool:
+        """Whether a parent may fetch what it lacks: not what an overloaded origin does not admit."""
+        return source is self.origin or self.origin is None or self.admits(self.origin, pending, work)
+
+    # ---- Attempts, timeouts, retries and second copies
+    def on_request(self, request: api.Request) -> None:
+        """Takes a new request: answers it from the router's own copy or starts its first attempt."""
+        time_left = request.time_left
+        cls = self.classes.get(request.cls) or api.ClassSettings(request.cls, time_left, time_left)
+        pending = PendingRequest(request, cls, self.now)
+        if self.reserve_own_copy(pending):
+            self.actions.append(api.Own(request.id))
             return
-        self.pending_requests[req.id] = job
-        job.accepts_stale = self.origin is not None and self.origin.refusal_rate > OVERLOAD_REFUSAL_RATE
+        self.pending_requests[request.id] = pending
+        pending.accepts_stale = self.origin is not None and self.origin.refusal_rate > OVERLOAD_REFUSAL_RATE
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
-        work = self.estimated_work(req)
-        if self.has_known_size(req):
-            self.mean_work_by_class[req.cls] = (
-                self.mean_work(req) + SMOOTHING_FACTOR * (work - self.mean_work(req)) / 4
-            )
+        work = self.estimated_work(request)
+        if self.has_known_size(request):
+            mean = self.mean_work(request)
+            self.mean_work_by_class[request.cls] = mean + SMOOTHING_FACTOR * (work - mean) / 4
         self.request_load.add(self.now, work)
         if self.now >= self.next_share_update:
             self.update_admission_shares()
-        self.mean_work_per_worth += (
-            SMOOTHING_FACTOR * (work / cls.worth - self.mean_work_per_worth) / 4 if cls.worth else 0.0
-        )
-        job.relative_worth = cls.worth * self.mean_work_per_worth / max(1.0, work)
-        self.start_attempt(job)
-        self.object_load[req.object] = heat = self.object_load.get(req.object) or DecayingRate(
-            OBJECT_LOAD_TIME_CONSTANT
-        )
-        heat.add(self.now, work)
-
-    def reserve_own_copy(self, job: PendingRequest) -> bool:
-        """Serve this router's own copy? Within the age that a cache's copy may have, purges included, and as
-        long as the own link, which sends in the order of the answers, is done well within the aim. What it
-        takes spares the caches; past that they are quicker."""
-        req, cls = job.request, job.cls
-        if req.own is None or self.settings.own_transfers <= 0 or cls.uncached:
+        if cls.worth:
+            self.mean_work_per_worth += SMOOTHING_FACTOR * (work / cls.worth - self.mean_work_per_worth) / 4
+        pending.relative_worth = cls.worth * self.mean_work_per_worth / max(1.0, work)
+        self.start_attempt(pending)
+        load = self.object_load.get(request.object) or DecayingRate(OBJECT_LOAD_TIME_CONSTANT)
+        self.object_load[request.object] = load
+        load.add(self.now, work)
+
+    def reserve_own_copy(self, pending: PendingRequest) -> bool:
+        """Whether this router's own copy answers the request; reserves its link for it if so.
+
+        The copy must be within the greatest age of a cache's copy, purges included, and the link, which sends
+        the answers in their order, must be done well within the aim: past that a cache is quicker.
+        """
+        request = pending.request
+        cls = pending.cls
+        if request.own is None or self.settings.own_transfers <= 0 or cls.uncached:
             return False
-        oldest = self.max_age(job) or cls.fresh
-        if oldest and req.own > oldest - OWN_COPY_AGE_MARGIN:
+        max_age = self.max_age(pending) or cls.fresh
+        if max_age and request.own > max_age - OWN_COPY_AGE_MARGIN:
             return False
-        work = self.estimated_work(req) * (CONFIRMATION_COST if req.confirm else 1.0)
-        free = max(float(self.now), self.own_link_free_at) + work / self.settings.own_transfers
-        within = min(
-            OWN_COPY_AIM_SHARE * (cls.aim + cls.aim_stretch * work), job.deadline - self.now - LATE_MARGIN
-        )
-        if max(work, free - self.now) > within:
+        work = self.estimated_work(request) * (CONFIRMATION_COST if request.confirm else 1.0)
+        free_at = max(float(self.now), self.own_link_free_at) + work / self.settings.own_transfers
+        aim = OWN_COPY_AIM_SHARE * (cls.aim + cls.aim_stretch * work)
+        limit = min(aim, pending.deadline - self.now - LATE_MARGIN)
+        if max(work, free_at - self.now) > limit:
             return False
-        self.own_link_free_at = free
+        self.own_link_free_at = free_at
         return True
 
-    def start_attempt(self, job: PendingRequest) -> None:
-        """Send once more where that is allowed, else answer (unless an attempt is still out)."""
+    def start_attempt(self, pending: PendingRequest) -> None:
+        """Sends the request once more if that is allowed, else answers it unless an attempt is still open."""
         server = None
-        # what cannot be sent before the client leaves, however quick the server, is not begun
-        need = max(self.settings.tick, self.estimated_work(job.request))
-        if job.attempts_made < self.settings.max_attempts and job.deadline - self.now > need:
-            server = self.choose_server(job)
+        # an object that cannot be sent before the deadline, however quick the server, is not started
+        least_time = max(self.settings.tick, self.estimated_work(pending.request))
+        time_left = pending.deadline - self.now
+        if pending.attempts_made < self.settings.max_attempts and time_left > least_time:
+            server = self.choose_server(pending)
         if server is not None:
-            self.send(job, server)
-        elif not job.open_attempts:
-            self.refuse_or_fail(job)
-
-    def send(self, job: PendingRequest, server: Server) -> None:
-        req, cls = job.request, job.cls
-        cached = server.role == "cache"
+            self.send(pending, server)
+        elif not pending.open_attempts:
+            self.refuse_or_fail(pending)
+
+    def send(self, pending: PendingRequest, server: Server) -> None:
+        """Sends an attempt to a server, with the source that a miss is filled from, and sets its timer."""
+        request = pending.request
+        cls = pending.cls
+        is_cache = server.role == "cache"
         source: Server | None = server
-        if cached and not job.only_held:
-            source = self.choose_source(job, server.miss_rate, server)
-        work = self.estimated_work(req)
-        attempt = Attempt(self, job, server, source if source is not server else None)
+        if is_cache and not pending.only_held:
+            source = self.choose_source(pending, server.miss_rate, server)
+        work = self.estimated_work(request)
+        attempt = Attempt(self, pending, server, source if source is not server else None)
         attempt.work = work
-        attempt.size_known = self.has_known_size(req) or (req.object, req.part) in self.learned_work
-        attempt.expected_latency = (
-            work * (1.0 if attempt.size_known else UNKNOWN_SIZE_FACTOR) + self.base_latency
-        ) * max(1.0, server.latency_ratio)
-        job.attempts_made += 1
-        job.open_attempts[attempt.number] = attempt
-        attempt.is_first = not job.may_have_run
-        if attempt.is_first:
-            job.may_have_run, job.may_have_run_on, job.may_have_run_since = True, server, self.now
-        server.in_flight[(req.id, attempt.number)] = attempt
-        self.record_slow_start_work(server, self.mean_work(req) if cached else work)
+        learned = (request.object, request.part) in self.learned_work
+        attempt.size_known = self.has_known_size(request) or learned
+        expected_work = work * (1.0 if attempt.size_known else UNKNOWN_SIZE_FACTOR)
+        attempt.expected_latency = (expected_work + self.base_latency) * max(1.0, server.latency_ratio)
+        pending.attempts_made += 1
+        pending.open_attempts[attempt.number] = attempt
+        attempt.first_possible_run = not pending.may_have_run
+        if attempt.first_possible_run:
+            pending.may_have_run = True
+            pending.may_have_run_on = server
+            pending.may_have_run_since = self.now
+        server.in_flight[(request.id, attempt.number)] = attempt
+        self.record_slow_start_work(server, self.mean_work(request) if is_cache else work)
         attempt.miss_rate = server.miss_rate
         if attempt.source is not None:
             self.record_slow_start_work(attempt.source, work * attempt.miss_rate)
@@ -674,289 +740,297 @@
             if party is not None and party.ejected_until:
                 party.probe_in_flight = True
         source_id = source.id if source is not None else server.id
+        time_out = pending.deadline - self.now
         if cls.uncached and server.role != "cache":
-            self.actions.append(api.Ask(req.id, server.id, job.deadline - self.now))
+            self.actions.append(api.Ask(request.id, server.id, time_out))
         else:
-            rank = (
-                0 if not cached or cls.uncached else 2 if req.object in self.object_load else 1
-            )  # 1: one-offs
-            renew = cls.fresh > 0 and cached
-            age, join = self.max_age(job), self.settings.joins
+            # a copy of an object that was requested before ranks above one that was requested only once
+            rank = 0 if not is_cache or cls.uncached else 2 if request.object in self.object_load else 1
+            renew = cls.fresh > 0 and is_cache
+            max_age = self.max_age(pending)
+            join = self.settings.joins
             attempt.only_held = source is None or not (
-                cls.uncached or self.may_fill_from_origin(source, job, work)
+                cls.uncached or self.may_fill_from_origin(source, pending, work)
             )
             held = attempt.only_held and source is not None
-            fields = (req.id, server.id, job.deadline - self.now, source_id, rank, age, join, held, renew)
+            fields = (request.id, server.id, time_out, source_id, rank, max_age, join, held, renew)
             self.actions.append(api.Fetch(*fields))
-        late = LATE_FACTOR * attempt.expected_latency + LATE_FILL_FACTOR * self.fill_latency
-        self.set_timer(attempt, int(late) + LATE_MARGIN)
+        late_after = LATE_FACTOR * attempt.expected_latency + LATE_FILL_FACTOR * self.fill_latency
+        self.set_timer(attempt, int(late_after) + LATE_MARGIN)
 
-    def set_timer(self, what: Attempt | Server | None, delay: int) -> None:
-        """A timer for a look at an attempt, for a probe of a lost server, or (None) to ask for the list."""
-        self.timers[self.next_timer_token] = what
+    def set_timer(self, target: Attempt | Server | None, delay: int) -> None:
+        """Sets a timer: to check an attempt, to probe a server or, with None, to request the list again."""
+        self.timers[self.next_timer_token] = target
         self.actions.append(api.SetTimer(self.next_timer_token, max(1, delay)))
         self.next_timer_token += 1
 
     def on_timer(self, event: api.TimerDue) -> None:
-        attempt = self.timers.pop(event.token, None)
-        if attempt is None:
+        """Does what a timer was set for."""
+        target = self.timers.pop(event.token, None)
+        if target is None:
             if self.settings.subscribe:
                 self.actions.append(api.Subscribe())
             return
-        if isinstance(attempt, Server):
-            if attempt.ejected_until and attempt.state == State.READY and not attempt.probe_in_flight:
-                self.actions.append(api.Probe(attempt.id))
-                attempt.probe_in_flight = True
-            elif attempt.ejected_until and attempt.state != State.GONE:
-                self.set_timer(attempt, BASE_EJECTION_TIME)
+        if isinstance(target, Server):
+            if target.ejected_until and target.state == State.READY and not target.probe_in_flight:
+                self.actions.append(api.Probe(target.id))
+                target.probe_in_flight = True
+            elif target.ejected_until and target.state != State.GONE:
+                self.set_timer(target, BASE_EJECTION_TIME)
             return
-        job = attempt.pending
-        if (
-            attempt.number not in job.open_attempts
-            or job.request.id not in self.pending_requests
-            or attempt.reissued
-        ):
+        pending = target.pending
+        is_open = target.number in pending.open_attempts and pending.request.id in self.pending_requests
+        if not is_open or target.reissued:
             return
-        self.check_late_attempt(attempt)
-        if attempt.number in job.open_attempts and not attempt.reissued:
-            self.set_timer(attempt, int(attempt.expected_latency / 2) + LATE_MARGIN)
+        self.check_late_attempt(target)
+        if target.number in pending.open_attempts and not target.reissued:
+            self.set_timer(target, int(target.expected_latency / 2) + LATE_MARGIN)
 
     def check_late_attempt(self, attempt: Attempt) -> None:
-        """An attempt that is late, a fill's usual wait included. A server that answered nobody since it was
-        sent is silent: that counts as a failure, whatever stopped the answers. Where it, the source and the
-        link are as quick as ever, this one answer is lost or its connection stuck: it is asked there again.
-        Else they are merely slow, and a second copy would only add to what slows them."""
+        """Decides what to do about an attempt that takes longer than expected, a fill included.
+
+        A server that answered nothing since the attempt was sent does not respond, which is a failure
+        whatever its cause. If server, source and link are as quick as usual, only this answer is lost or its
+        connection stuck, and the request is sent there again. Otherwise they are slow, and a second copy
+        would add to their load.
+        """
         attempt.late_checks += 1
         parties = (attempt.server, attempt.source, self.inbound_link)
         if attempt.server.answered_at < attempt.sent_at:
-            self.record_failure(attempt.server, lost=True) if attempt.late_checks == 1 else self.reissue(
-                attempt
-            )
+            if attempt.late_checks == 1:
+                self.record_failure(attempt.server, unresponsive=True)
+            else:
+                self.reissue(attempt)
         elif all(self.current_latency_ratio(p) <= NORMAL_LATENCY_RATIO for p in parties if p is not None):
-            self.reissue(attempt, stay=True)
-
-    def reissue(self, attempt: Attempt, stay: bool = False) -> None:
-        """Ask elsewhere (`stay`: first once more there, where the copy is): beside the late attempt where two
-        may be out, else in its place."""
-        job = attempt.pending
-        if (
-            attempt.reissued
-            or job.cls.effect is not Effect.SAFE
-            or job.request.id not in self.pending_requests
-        ):
+            self.reissue(attempt, same_server=True)
+
+    def reissue(self, attempt: Attempt, same_server: bool = False) -> None:
+        """Sends a safe request again, beside the late attempt where second copies are allowed, else instead.
+
+        With `same_server` it is first sent once more to the server that has the copy, else to another one.
+        """
+        pending = attempt.pending
+        is_pending = pending.request.id in self.pending_requests
+        if attempt.reissued or pending.cls.effect is not Effect.SAFE or not is_pending:
             return
-        if (
-            self.retry_budget < 1.0
-            or job.deadline - self.now < attempt.work
-            or job.attempts_made >= self.settings.max_attempts
-        ):
+        if self.retry_budget < 1.0 or pending.deadline - self.now < attempt.work:
             return
-        if not stay or job.retried_in_place:
-            job.excluded_ids.add(attempt.server.id)
-        job.retried_in_place, attempt.reissued = job.retried_in_place or stay, True
+        if pending.attempts_made >= self.settings.max_attempts:
+            return
+        if not same_server or pending.retried_same_server:
+            pending.excluded_ids.add(attempt.server.id)
+        pending.retried_same_server = pending.retried_same_server or same_server
+        attempt.reissued = True
         if self.settings.second_copies:
             self.retry_budget -= 1.0
-            self.start_attempt(job)
+            self.start_attempt(pending)
         elif self.settings.cancel:
-            self.actions.append(api.Cancel(job.request.id, attempt.number))
+            self.actions.append(api.Cancel(pending.request.id, attempt.number))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Forgets an attempt and cancels it where the settings allow it."""
         attempt.server.in_flight.pop((attempt.pending.request.id, attempt.number), None)
         if self.settings.cancel:
             self.actions.append(api.Cancel(attempt.pending.request.id, attempt.number))
 
     def inferred_note(self, attempt: Attempt, event: api.Finished) -> int:
-        """What failed, where notes do not tell: a cache of the own location says by itself at once that it is
-        full or failed; what comes later was waited for from the source. Where notes tell all, nothing is read
-        into a late error: blamed for it, the sources would lose their objects for what caches do."""
+        """The note of an answer or, where answers carry few notes, what its outcome and time tell.
+
+        A cache says at once that it is full or failed itself; a later answer waited for the source. Where all
+        answers carry notes nothing is inferred, or sources would lose objects for the faults of caches.
+        """
         if event.note != Note.NONE or attempt.source is None or self.settings.notes == "all":
             return event.note
         if event.outcome is Outcome.FULL and event.took > 2 * self.settings.tick:
             return Note.SOURCE_REFUSED
-        return (
-            Note.SOURCE_LOST
-            if event.outcome is Outcome.ERROR and event.took >= QUICK_ERROR_TIME
-            else Note.NONE
-        )
+        is_late_error = event.outcome is Outcome.ERROR and event.took >= QUICK_ERROR_TIME
+        return Note.SOURCE_LOST if is_late_error else Note.NONE
 
     def attribute_failure(self, attempt: Attempt, event: api.Finished, note: int) -> None:
-        """Book a failure to the party it speaks of; where it speaks of none, to the one that was silent."""
-        server, source, out = attempt.server, attempt.source, event.outcome
-        if note != Note.NONE or out is Outcome.FULL:
+        """Records a failure for the server or source that its note names, else for the silent one."""
+        server = attempt.server
+        source = attempt.source
+        outcome = event.outcome
+        if note != Note.NONE or outcome is Outcome.FULL:
             server.answered_at = self.now
-        if out is Outcome.UNREACHABLE:
-            self.record_failure(server, lost=True)
-        elif out is Outcome.BROKEN:  # one failure, however much was out on that connection
+        if outcome is Outcome.UNREACHABLE:
+            self.record_failure(server, unresponsive=True)
+        elif outcome is Outcome.BROKEN:  # one failure for all attempts on that connection
             if self.now - server.connection_lost_at > CONNECTION_LOSS_WINDOW:
                 self.record_failure(server)
             server.connection_lost_at = self.now
         elif source is not None and note in (Note.SOURCE_LOST, Note.SOURCE_REFUSED):
             if note == Note.SOURCE_LOST and source.answered_at < attempt.sent_at:
-                self.record_failure(source, lost=True)
-            else:  # it lives and was asked too much: no strike, or all its objects would move
-                self.record_latency(source, REFUSAL_LATENCY_RATIO, full=True)
-        elif note == Note.NO_FILL_PLACE or (out is Outcome.FULL and note == Note.NONE):
+                self.record_failure(source, unresponsive=True)
+            else:  # overloaded, not failed: an ejection would move all its objects
+                self.record_latency(source, REFUSAL_LATENCY_RATIO, refused=True)
+        elif note == Note.NO_FILL_PLACE or (outcome is Outcome.FULL and note == Note.NONE):
             self.record_latency(server, REFUSAL_LATENCY_RATIO)
-        elif out is Outcome.TIMED_OUT:
+        elif outcome is Outcome.TIMED_OUT:
             silent = server if server.answered_at < attempt.sent_at else source
             if silent is not None and silent.answered_at < attempt.sent_at:
-                self.record_failure(silent, lost=True)
-        elif note != Note.ORIGIN_FAILED:  # it answers, so only a share of failures speaks against it
-            self.record_failure(server, quick=True)
+                self.record_failure(silent, unresponsive=True)
+        elif note != Note.ORIGIN_FAILED:
+            self.record_failure(server, error_answer=True)
 
     def on_finished(self, event: api.Finished) -> None:
+        """Records the end of an attempt, then retries or answers the request if it has no answer yet."""
         if event.server in self.servers:
             self.servers[event.server].in_flight.pop((event.id, event.attempt), None)
-        job = self.pending_requests.get(event.id)
-        attempt = job.open_attempts.pop(event.attempt, None) if job is not None else None
-        if job is None or attempt is None:
+        pending = self.pending_requests.get(event.id)
+        attempt = pending.open_attempts.pop(event.attempt, None) if pending is not None else None
+        if pending is None or attempt is None:
             return
+        server = attempt.server
         if event.load and "busy_reqs" in self.settings.report:
-            held, there = event.load[self.settings.report.index("busy_reqs")], attempt.server
-            if (
-                event.load != there.load_report
-                or self.now - there.load_reported_at > REPORT_TIME_CONSTANT / 2
-            ):  # else it is old news
-                there.load_report, there.load_reported_at = event.load, self.now
-                there.load_of_others = max(0.0, held - len(there.in_flight))
-        attempt.server.mean_source_wait += SMOOTHING_FACTOR * (event.waited - attempt.server.mean_source_wait)
-        attempt.server.mean_latency += SMOOTHING_FACTOR * (event.took - attempt.server.mean_latency)
-        out, note = event.outcome, self.inferred_note(attempt, event)
+            busy_requests = event.load[self.settings.report.index("busy_reqs")]
+            # a repeated report is older than what has been sent to the server since
+            age = self.now - server.load_reported_at
+            if event.load != server.load_report or age > REPORT_TIME_CONSTANT / 2:
+                server.load_report = event.load
+                server.load_reported_at = self.now
+                server.load_of_others = max(0.0, busy_requests - len(server.in_flight))
+        server.mean_source_wait += SMOOTHING_FACTOR * (event.waited - server.mean_source_wait)
+        server.mean_latency += SMOOTHING_FACTOR * (event.took - server.mean_latency)
+        outcome = event.outcome
+        note = self.inferred_note(attempt, event)
         self.record_fill(attempt, event)
-        if out is Outcome.SERVED:
+        if outcome is Outcome.SERVED:
             self.learn_from_answer(attempt, event)
-        elif out not in (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.MISS, Outcome.NOT_CONNECTED):
+        elif outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.MISS, Outcome.NOT_CONNECTED):
             self.attribute_failure(attempt, event, note)
         else:
-            if out is Outcome.MISS:
-                self.record_success(attempt.server, attempt.sent_at)
-            for party in (attempt.server, attempt.source):
+            if outcome is Outcome.MISS:
+                self.record_success(server, attempt.sent_at)
+            for party in (server, attempt.source):
                 if party is not None:
                     party.probe_in_flight = False
-        if (
-            out in api.NEVER_RAN and not job.open_attempts and attempt.is_first
-        ):  # of any attempt, not just the first
-            job.may_have_run = False
+        if outcome in api.NEVER_RAN and not pending.open_attempts and attempt.first_possible_run:
+            pending.may_have_run = False
         if event.over:
-            for other in job.open_attempts.values():
+            for other in pending.open_attempts.values():
                 self.cancel_attempt(other)
             self.pending_requests.pop(event.id, None)
         else:
-            self.retry_or_finish(job, attempt, out, note)
+            self.retry_or_finish(pending, attempt, outcome, note)
+
+    def retry_or_finish(self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, note: int) -> None:
+        """Retries at another source or another cache, or answers the request.
 
-    def retry_or_finish(self, job: PendingRequest, attempt: Attempt, out: Outcome, note: int) -> None:
-        """What next? Another source or another cache; where no fill is to be had, a stale copy of the cache
-        if the class has a grace time. Asking the same sources again would add to their trouble."""
-        if job.open_attempts:
+        If no source can fill the miss, a stale copy of the same cache will do for classes that have a grace
+        time. The same sources are not asked again, which would add to their trouble.
+        """
+        if pending.open_attempts:
             return
-        source, server = attempt.source, attempt.server
-        lacks = out is Outcome.MISS or note in FAILED_FILL_NOTES
-        # a connection that ended, or one error, says little of a server that may hold the copy
-        safe = job.cls.effect is Effect.SAFE
-        chance = (
-            out is Outcome.ERROR and note == Note.NONE and server.failure_rate < RETRY_IN_PLACE_FAILURE_RATE
-        )
-        once_more = (
-            safe and (out is Outcome.BROKEN or chance) and self.is_usable(server) and not job.retried_in_place
-        )
-        job.retried_in_place = job.retried_in_place or once_more
-        at_fault = out is not Outcome.NOT_CONNECTED and (out is not Outcome.MISS or source is not None)
-        if not once_more and at_fault:
-            job.excluded_ids.add(source.id if lacks and source is not None else server.id)
-        if out is Outcome.NEVER_SENT or job.only_held or self.retry_budget < 1.0:
-            self.refuse_or_fail(job)
+        source = attempt.source
+        server = attempt.server
+        no_fill = outcome is Outcome.MISS or note in FAILED_FILL_NOTES
+        # a lost connection, or a single error, says little of a server that may have the copy
+        is_safe = pending.cls.effect is Effect.SAFE
+        is_error = outcome is Outcome.ERROR and note == Note.NONE
+        single_error = is_error and server.failure_rate < SAME_SERVER_RETRY_FAILURE_RATE
+        may_repeat = is_safe and (outcome is Outcome.BROKEN or single_error)
+        same_server = may_repeat and self.is_usable(server) and not pending.retried_same_server
+        pending.retried_same_server = pending.retried_same_server or same_server
+        plain_miss = outcome is Outcome.MISS and source is None
+        at_fault = outcome is not Outcome.NOT_CONNECTED and not plain_miss
+        if not same_server and at_fault:
+            pending.excluded_ids.add(source.id if no_fill and source is not None else server.id)
+        if outcome is Outcome.NEVER_SENT or pending.only_held or self.retry_budget < 1.0:
+            self.refuse_or_fail(pending)
             return
-        last = (
-            note == Note.ORIGIN_FAILED
-            or attempt.only_held
-            or (source is not None and source.role == "origin")
-        )
-        job.only_held = (
-            lacks and not job.cls.uncached and (last or self.choose_source(job, 1.0, server) is None)
+        from_origin = source is not None and source.role == "origin"
+        was_last_source = note == Note.ORIGIN_FAILED or attempt.only_held or from_origin
+        pending.only_held = (
+            no_fill
+            and not pending.cls.uncached
+            and (was_last_source or self.choose_source(pending, 1.0, server) is None)
         )
-        if job.only_held and (
-            job.accepts_stale or not job.cls.grace or server.role != "cache" or not self.is_usable(server)
-        ):
-            self.refuse_or_fail(job)
+        stale_copy_ruled_out = pending.accepts_stale or not pending.cls.grace or server.role != "cache"
+        if pending.only_held and (stale_copy_ruled_out or not self.is_usable(server)):
+            self.refuse_or_fail(pending)
             return
         self.retry_budget -= 1.0
-        job.accepts_stale = True
-        if job.only_held:
-            self.send(job, server)
+        pending.accepts_stale = True
+        if pending.only_held:
+            self.send(pending, server)
         else:
-            self.start_attempt(job)
+            self.start_attempt(pending)
 
     def record_fill(self, attempt: Attempt, event: api.Finished) -> None:
-        """Misses by cache, and what they asked of a source beyond the share that was booked ahead."""
+        """Updates the miss rate of a cache and the work of its source by an answer."""
         missed = event.note not in (Note.NONE, Note.HIT, Note.STALE)
         if attempt.source is None or (event.outcome is not Outcome.SERVED and not missed):
             return
         if self.origin is not None and event.note in (Note.ORIGIN_FAILED, Note.FILLED_BY_ORIGIN):
-            self.record_latency(self.origin, 1.0, full=event.note == Note.ORIGIN_FAILED)
+            self.record_latency(self.origin, 1.0, refused=event.note == Note.ORIGIN_FAILED)
         attempt.server.miss_rate += SMOOTHING_FACTOR * (missed - attempt.server.miss_rate)
-        home = next(
-            (p for p in self.ranking("parent", attempt.pending.request.object) if self.is_usable(p)), None
-        )
-        if missed and home is not None:
-            home.primary_fills.add(self.now, attempt.work)
+        parents = self.ranking("parent", attempt.pending.request.object)
+        primary = next((p for p in parents if self.is_usable(p)), None)
+        if missed and primary is not None:
+            primary.primary_fills.add(self.now, attempt.work)
         if missed and event.note != Note.JOINED:
+            # only the expected part of the fill was recorded when the attempt was sent
             self.record_slow_start_work(attempt.source, attempt.work * (1.0 - attempt.miss_rate))
 
     def learn_from_answer(self, attempt: Attempt, event: api.Finished) -> None:
-        server, source, req, took = attempt.server, attempt.source, attempt.pending.request, float(event.took)
+        """Updates health, latencies and learned work by a served answer."""
+        server = attempt.server
+        source = attempt.source
+        request = attempt.pending.request
+        took = float(event.took)
         filled = event.note in (Note.FILLED, Note.FILLED_BY_ORIGIN)
         self.record_success(server, attempt.sent_at)
         if event.bare:
             return
-        self.served_load.add(self.now, self.mean_work(req))
+        self.served_load.add(self.now, self.mean_work(request))
         if filled and source is not None:
             self.record_success(source, attempt.sent_at)
-            usual = (attempt.work + self.base_latency) * self.current_latency_ratio(
-                server
-            ) + self.fill_latency
-            self.record_latency(source, took / usual if attempt.size_known else 1.0)
+            hit_latency = (attempt.work + self.base_latency) * self.current_latency_ratio(server)
+            expected = hit_latency + self.fill_latency
+            self.record_latency(source, took / expected if attempt.size_known else 1.0)
             if attempt.size_known:
-                # the wait for a parent's own copy says nothing of the link; the origin's spares both
-                rest = (took - event.waited) / max(1.0, usual - self.fill_latency)
-                self.record_latency(
-                    self.inbound_link, rest if event.waited and event.note == Note.FILLED else took / usual
-                )
-                self.fill_latency = max(
-                    self.base_latency,
-                    self.fill_latency + SMOOTHING_FACTOR * min(took - usual, self.fill_latency) / 10,
-                )
+                # A wait for the parent's own fill says nothing about the inbound link. A wait for the origin
+                # counts, which spares both.
+                without_wait = (took - event.waited) / max(1.0, expected - self.fill_latency)
+                link_ratio = without_wait if event.waited and event.note == Note.FILLED else took / expected
+                self.record_latency(self.inbound_link, link_ratio)
+                change = SMOOTHING_FACTOR * min(took - expected, self.fill_latency) / 10
+                self.fill_latency = max(self.base_latency, self.fill_latency + change)
             self.fill_load.add(self.now, attempt.work)
         if filled or event.note == Note.JOINED:
             return
-        if self.has_known_size(req):
+        if self.has_known_size(request):
             gap = took - attempt.work - self.base_latency
-            self.base_latency = max(
-                1.0 * MS,
-                self.base_latency
-                + (
-                    SMOOTHING_FACTOR * gap if gap < 0 else SMOOTHING_FACTOR * min(gap, self.base_latency) / 10
-                ),
-            )
+            change = SMOOTHING_FACTOR * gap
+            if gap >= 0:  # rises ten times as slowly as it falls
+                change = SMOOTHING_FACTOR * min(gap, self.base_latency) / 10
+            self.base_latency = max(1.0 * MS, self.base_latency + change)
         else:
-            key = (req.object, req.part)
+            key = (request.object, request.part)
             self.learned_work[key] = min(took, self.learned_work.get(key, took) * 1.01)
-            old = self.mean_work_by_class.get(req.cls, took)
-            self.mean_work_by_class[req.cls] = old + SMOOTHING_FACTOR * (took - old)
+            mean = self.mean_work_by_class.get(request.cls, took)
+            self.mean_work_by_class[request.cls] = mean + SMOOTHING_FACTOR * (took - mean)
             if not attempt.size_known:
                 return
             attempt.work = self.learned_work[key]
         self.record_latency(server, took / (attempt.work + self.base_latency))
 
-    # ---- At the write, and at the end
-    def recheck(self, now: int, request: str, no: int) -> int | None:
-        """What was decided may have waited for a connection. The age bound of now, or None: a party drains,
-        is gone, or started cold since (rules 3 and 4 hold at the write)."""
+    # ---- Before an attempt is written, and at the end of the program
+    def recheck(self, now: int, request_id: str, attempt_number: int) -> int | None:
+        """Whether an attempt may still be written after it waited for a connection.
+
+        Returns the current greatest age of a copy, 0 for no limit. None if the attempt is no longer open, if
+        its server or source drains or is gone (rule 3), or if one has started since and has no allowance left
+        (rule 4).
+        """
         self.now = now
-        job = self.pending_requests.get(request)
-        attempt = job.open_attempts.get(no) if job is not None else None
-        if job is None or attempt is None:
+        pending = self.pending_requests.get(request_id)
+        attempt = pending.open_attempts.get(attempt_number) if pending is not None else None
+        if pending is None or attempt is None:
             return None
-        for party, work in ((attempt.server, self.mean_work(job.request)), (attempt.source, attempt.work)):
+        server_work = self.mean_work(pending.request)
+        for party, work in ((attempt.server, server_work), (attempt.source, attempt.work)):
             if party is None:
                 continue
             if party.state != State.READY:
@@ -965,18 +1039,21 @@
                 if not self.within_slow_start_budget(party, work):
                     return None
                 self.record_slow_start_work(party, work)
-        return self.max_age(job)
+        return self.max_age(pending)
 
-    def force_answer(self, now: int, request: str) -> list[api.Action]:
-        """The final answer at once, whatever is out: the router is about to end."""
-        self.now, self.actions = now, []
-        if request in self.pending_requests:
-            self.refuse_or_fail(self.pending_requests[request])
+    def force_answer(self, now: int, request_id: str) -> list[api.Action]:
+        """Answers a request now, whatever is in flight, because the router is about to end."""
+        self.now = now
+        self.actions = []
+        if request_id in self.pending_requests:
+            self.refuse_or_fail(self.pending_requests[request_id])
         return self.actions
 
-    # ---- Dispatch
+    # ---- Events
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        self.now, self.actions = now, []
+        """Takes one event and returns the actions that it leads to. `now` is in microseconds."""
+        self.now = now
+        self.actions = []
         self.started_at = now if self.started_at < 0 else self.started_at
         match event:
             case api.Request():
@@ -986,8 +1063,8 @@
             case api.TimerDue():
                 self.on_timer(event)
             case api.ClientGone():
-                job = self.pending_requests.pop(event.id, None)
-                for attempt in list(job.open_attempts.values()) if job else []:
+                pending = self.pending_requests.pop(event.id, None)
+                for attempt in list(pending.open_attempts.values()) if pending else []:
                     self.cancel_attempt(attempt)
             case api.Listing():
                 self.on_listing(event)
--- a/onyxpulley/server_state.py
+++ b/onyxpulley/server_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of one server: its process, its health, and what was sent it while it was cold."""
+"""What a router knows of one server: its process, health, load, and work sent while it was cold."""
 
 from __future__ import annotations
 
@@ -12,45 +12,50 @@
 if TYPE_CHECKING:
     from onyxpulley.pending_requests import Attempt
 
-PRIMARY_FILL_TIME_CONSTANT = 30_000_000  # us; memory of how the fills share out among parents
+PRIMARY_FILL_TIME_CONSTANT = 30_000_000  # us
 
 
 class Server:
-    """What this router knows of one edge cache, parent or origin."""
+    """A cache, sibling, parent or origin as this router sees it. Times are microseconds."""
 
     def __init__(self, entry: api.Entry, role: str) -> None:
-        self.id, self.zone, self.role, self.cell = entry.server, entry.zone, role, entry.cell
-        self.weight, self.state, self.started = entry.weight, State.GONE, 0
-        self.in_flight: dict[tuple[str, int], Attempt] = {}
+        self.id = entry.server
+        self.zone = entry.zone
+        self.role = role
+        self.cell = entry.cell
+        self.weight = entry.weight
+        self.state = State.GONE
+        self.started = 0  # `started` of its last list entry, which tells its processes apart
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request id and number of the attempt
         self.slow_start_work = WorkWindow()
         self.reset(0)
 
-    def reset(self, warm_from: int) -> None:
-        """A new process: nothing of the old one's health holds. warm_from 0: warm."""
-        (
-            self.slow_start_since,
-            self.consecutive_failures,
-            self.failure_rate,
-            self.ejected_until,
-            self.ejection_time,
-        ) = warm_from, 0, 0.0, 0, 0
-        self.probe_in_flight, self.unresponsive, self.load_report = False, False, tuple[float, ...]()
-        self.load_of_others, self.load_reported_at = (
-            0.0,
-            0,
-        )  # what others have there by its last report, and when that came
-        self.mean_source_wait, self.mean_latency = (
-            0.0,
-            1.0,
-        )  # means of an answer's wait for its source and of its whole time
-        self.connection_lost_at = -(2**62)  # when a connection to it last ended with something out
-        self.answered_at, self.latency_ratio, self.miss_rate = 0, 1.0, 1.0 if warm_from else 0.3
-        self.admission_share, self.share_updated_at, self.latency_sampled_at, self.refusal_rate = (
-            1.0,
-            0,
-            0,
-            0.0,
-        )
-        self.primary_fills = DecayingRate(
-            PRIMARY_FILL_TIME_CONSTANT
-        )  # a parent: this router's fills of the objects that it is home to
+    def reset(self, slow_start_since: int) -> None:
+        """Forgets what is known of the last process. The new one is cold since then, or warm if 0."""
+        self.slow_start_since = slow_start_since
+
+        # health checks and outlier ejection
+        self.answered_at = 0
+        self.connection_lost_at = -(2**62)  # last loss of a connection with attempts in flight
+        self.consecutive_failures = 0
+        self.failure_rate = 0.0
+        self.unresponsive = False  # it failed without any answer, so it may have restarted
+        self.ejected_until = 0  # 0 if it is not ejected
+        self.ejection_time = 0  # length of the last ejection
+        self.probe_in_flight = False  # an active probe, or a request that serves as one
+
+        # admission
+        self.admission_share = 1.0  # part of its objects that it is sent
+        self.share_updated_at = 0
+        self.latency_ratio = 1.0  # running mean of measured over expected latency
+        self.latency_sampled_at = 0
+        self.refusal_rate = 0.0
+
+        # load
+        self.load_report: tuple[float, ...] = ()
+        self.load_reported_at = 0  # when the report last changed, 0 if there is none
+        self.load_of_others = 0.0  # requests of other routers there, by that report
+        self.mean_source_wait = 0.0  # us that an answer waited for its source
+        self.mean_latency = 1.0  # us
+        self.miss_rate = 1.0 if slow_start_since else 0.3
+        self.primary_fills = DecayingRate(PRIMARY_FILL_TIME_CONSTANT)  # of objects whose primary parent it is
--- a/onyxpulley/slow_start.py
+++ b/onyxpulley/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: the work that this router has sent a server that has just started, within the rule's window.
+"""Slow start: the work that this router has sent a recently started server within the window of the rule.
 
-All routers together may send such a server so much in any window; each keeps to its own share. Times are
-microseconds on the events' clock, work is the sending time at full pace.
+The rule limits what all routers together may send such a server in any window; each keeps to its own share.
+Times are microseconds on the clock of the events. Work is the time that a transfer takes at full bandwidth.
 """
 
 from __future__ import annotations
@@ -10,22 +10,23 @@
 
 
 class WorkWindow:
-    """Work booked at one server. What is older than the window no longer counts."""
+    """Work sent to one server, summed over a sliding window."""
 
     def __init__(self) -> None:
-        self.entries: deque[tuple[int, float]] = deque()
+        self.entries: deque[tuple[int, float]] = deque()  # time and work
         self.total = 0.0
 
     def add(self, at: int, work: float) -> None:
+        """Adds work sent at a time that is not before the last one."""
         self.entries.append((at, work))
         self.total += work
 
     def total_within(self, now: int, window: int) -> float:
-        """The work of the last `window`."""
+        """Sum of the work in the last `window`; drops what is older."""
         while self.entries and self.entries[0][0] < now - window:
             self.total -= self.entries.popleft()[1]
         return self.total
 
     def has_work_within(self, now: int, window: int) -> bool:
-        """Is there any entry that still counts?"""
+        """Whether any work was sent in the last `window`."""
         return bool(self.entries) and self.entries[-1][0] > now - window
