--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small bench-free world: one location with caches, two parents and an origin, driven by hand."""
+"""A router without I/O in a small deployment: the caches of one zone, two parents and an origin."""
 
 from __future__ import annotations
 
@@ -47,6 +47,7 @@
 
 
 def entries(caches: int = 4, parents: int = 2, origin: bool = True) -> tuple[api.Entry, ...]:
+    """The list of servers: caches c0, c1, ... in cells of two, parents p0, p1, ... and the origin o."""
     rows = [api.Entry(f"c{i}", "edge-1", "box", cell=i // 2) for i in range(caches)]
     rows += [api.Entry(f"p{i}", "hub", "parent") for i in range(parents)]
     rows += [api.Entry("o", "hub", "origin")] if origin else []
@@ -54,7 +55,7 @@
 
 
 class RouterHarness:
-    """A router with its list, and what it has said so far."""
+    """A router that has its list of servers, driven event by event at the time `now`."""
 
     def __init__(
         self,
@@ -68,10 +69,12 @@
         self.handle(api.Listing(api.ListKind.CACHED, entries() if rows is None else rows))
 
     def handle(self, event: api.Event, after: int = 0) -> list[api.Action]:
+        """Gives the router an event, `after` microseconds later; returns its actions."""
         self.now += after
         return self.router.handle(self.now, event)
 
     def update_servers(self, *rows: api.Entry, after: int = 0) -> None:
+        """Announces changes of the list."""
         self.handle(api.Listing(api.ListKind.CHANGES, rows), after)
 
     def request(
@@ -82,6 +85,7 @@
         size_kb: float = 100.0,
         group: int = 1,
     ) -> tuple[str, list[api.Action]]:
+        """Sends a request; returns its id and the router's actions."""
         name = f"r{next(self.request_numbers)}"
         return name, self.handle(api.Request(name, cls, obj, time_left, group=group, size_kb=size_kb))
 
@@ -94,11 +98,12 @@
         after: int = 100_000,
         attempt: int = 0,
     ) -> list[api.Action]:
+        """Ends an attempt after it has taken `after` microseconds."""
         over = outcome is api.Outcome.SERVED
         return self.handle(api.Finished(name, attempt, sent.server, outcome, after, over, note), after)
 
     def serve_hit(self, obj: str, **more: object) -> api.Fetch:
-        """Ask and answer at once, a plain hit."""
+        """A request that is answered by a hit; returns what the router sent for it."""
         name, actions = self.request(obj)
         sent = single_fetch(actions)
         self.finish(name, sent, note=api.Note.HIT)
@@ -106,17 +111,21 @@
 
 
 def sent_attempts(actions: list[api.Action]) -> list[api.Fetch | api.Ask]:
+    """The actions that send an attempt."""
     return [a for a in actions if isinstance(a, api.Fetch | api.Ask)]
 
 
 def single_fetch(actions: list[api.Action]) -> api.Fetch:
+    """The only Fetch among the actions; fails unless there is exactly one."""
     (sent,) = [a for a in actions if isinstance(a, api.Fetch)]
     return sent
 
 
 def final_answers(actions: list[api.Action]) -> list[api.Action]:
+    """The refusals and failures among the actions."""
     return [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
 
 
 def with_settings(**changes: object) -> api.Settings:
+    """BASE_SETTINGS with some fields replaced."""
     return replace(BASE_SETTINGS, **changes)  # type: ignore[arg-type]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What only many routers together can break: the sum of all that a cold server is sent."""
+"""What depends on many routers or many servers: the sum of what a cold server is sent, memory, odd lists."""
 
 from __future__ import annotations
 
@@ -13,73 +13,75 @@
 from .helpers import BASE_SETTINGS, SEC, START, RouterHarness, entries, single_fetch, with_settings
 
 ROUTERS = 40
-SIZE_KB = 200.0  # each request's sending time is 0.2 s
-EACH_MS = 250  # a request at each router this often
+SIZE_KB = 200.0  # which is 0.2 s of work
+INTERVAL_MS = 250  # between two requests at each router
 
 
-def rushed(server: str, role: str) -> list[str]:
-    """Objects at home at a server, all of the part that it takes at its coldest."""
+def coldest_share_objects(server: str, role: str) -> list[str]:
+    """Objects that a server is first for in its role, all in its admission share at its coldest."""
     router = Router(BASE_SETTINGS, 1)
     router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
     names = (f"k{i}" for i in range(100_000))
-    home = (o for o in names if admission_hash(o, server) < 0.1 and router.ranking(role, o)[0].id == server)
-    return list(islice(home, 200))
+    objects = (
+        o for o in names if admission_hash(o, server) < 0.1 and router.ranking(role, o)[0].id == server
+    )
+    return list(islice(objects, 200))
 
 
-def drive(setting: api.Settings, cold: api.Entry, as_source: bool, rush: bool = False) -> float:
-    """Work that reaches the cold server in its busiest window, over what the rule allows there."""
-    hot = rushed(cold.server, "parent" if as_source else "cache") if rush else []
-    routers = [Router(replace(setting, me=i), i) for i in range(ROUTERS)]
+def worst_load_ratio(settings: api.Settings, cold: api.Entry, as_source: bool, surge: bool = False) -> float:
+    """Greatest ratio, in any window, of the work sent to a cold server to the work that the rule allows."""
+    hot = coldest_share_objects(cold.server, "parent" if as_source else "cache") if surge else []
+    routers = [Router(replace(settings, me=i), i) for i in range(ROUTERS)]
     now = START
     for router in routers:
         router.handle(now, api.Listing(api.ListKind.CACHED, entries()))
     sent: list[tuple[int, float]] = []
     started = 0
     for step in range(160):
-        now += EACH_MS * 1000
+        now += INTERVAL_MS * 1000
         if step == 100:
             started = now
             for router in routers:
                 router.handle(now, api.Listing(api.ListKind.CHANGES, (replace(cold, started=now),)))
         for i, router in enumerate(routers):
             name = f"r{i}-{step}"
-            obj = hot[(step + i) % len(hot)] if rush and started else f"o{step}-{i}"
-            ask = api.Request(name, "media", obj, 5 * SEC, group=1, size_kb=SIZE_KB)
-            for action in router.handle(now, ask):
+            obj = hot[(step + i) % len(hot)] if surge and started else f"o{step}-{i}"
+            request = api.Request(name, "media", obj, 5 * SEC, group=1, size_kb=SIZE_KB)
+            for action in router.handle(now, request):
                 if isinstance(action, api.Fetch):
                     reached = action.source if as_source else action.server
                     if started and reached == cold.server:
                         sent.append((now, 0.2 * SEC))
                     done = api.Finished(name, 0, action.server, Outcome.SERVED, 220_000, True, Note.FILLED)
                     router.handle(now, done)
-    # one server's load when all are warm
-    fair = ROUTERS * 0.2 * SEC / (EACH_MS * 1000) / (2 if as_source else 4)
-    least, whole = (0.1, 30 * SEC) if as_source else (setting.cold_from, setting.cold_time)
-    multiple = setting.parent_cold_multiple if as_source else setting.cold_multiple
+    # load of one server when all are warm
+    warm_load = ROUTERS * 0.2 * SEC / (INTERVAL_MS * 1000) / (2 if as_source else 4)
+    initial, slow_start_time = (0.1, 30 * SEC) if as_source else (settings.cold_from, settings.cold_time)
+    multiple = settings.parent_cold_multiple if as_source else settings.cold_multiple
     worst = 0.0
     for at, _ in sent:
-        load = sum(work for t, work in sent if at - setting.cold_window < t <= at)
-        warmth = least + (1 - least) * (at - started) / whole
-        worst = max(worst, load / (multiple * warmth * fair * setting.cold_window))
-    assert sent, "a cold server is not starved"
+        load = sum(work for t, work in sent if at - settings.cold_window < t <= at)
+        warmth = initial + (1 - initial) * (at - started) / slow_start_time
+        worst = max(worst, load / (multiple * warmth * warm_load * settings.cold_window))
+    assert sent, "the cold server must not be starved"
     return worst
 
 
 def test_forty_routers_together_stay_within_a_cold_caches_allowance() -> None:
-    setting = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
-    assert drive(setting, api.Entry("c0", "edge-1", "box"), as_source=False) < 1.0
+    settings = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
+    assert worst_load_ratio(settings, api.Entry("c0", "edge-1", "box"), as_source=False) < 1.0
 
 
-def test_a_rush_on_a_cold_servers_own_objects_stays_within_its_allowance() -> None:
-    """The part by the second hash does not help here: only each router's budget does."""
-    setting = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
-    assert drive(setting, api.Entry("c0", "edge-1", "box"), as_source=False, rush=True) < 1.0
-    assert drive(setting, api.Entry("p0", "hub", "parent"), as_source=True, rush=True) < 1.0
+def test_a_surge_on_a_cold_servers_own_objects_stays_within_its_allowance() -> None:
+    """All of the objects are in its admission share, so only the budget of each router limits the work."""
+    settings = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
+    assert worst_load_ratio(settings, api.Entry("c0", "edge-1", "box"), as_source=False, surge=True) < 1.0
+    assert worst_load_ratio(settings, api.Entry("p0", "hub", "parent"), as_source=True, surge=True) < 1.0
 
 
 def test_forty_routers_together_stay_within_a_cold_parents_allowance() -> None:
-    setting = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
-    assert drive(setting, api.Entry("p0", "hub", "parent"), as_source=True) < 1.0
+    settings = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
+    assert worst_load_ratio(settings, api.Entry("p0", "hub", "parent"), as_source=True) < 1.0
 
 
 def test_memory_stays_bounded_while_servers_are_replaced() -> None:
@@ -93,11 +95,11 @@
     assert len(router.servers) < 300
 
 
-def test_a_list_of_hundreds_and_odd_starts_keep_to_ready_servers() -> None:
-    """Odd but legal lists: hundreds of servers, starts in the past or the future, one of everything, none."""
-    odd = [api.Entry(f"c{i}", "edge-1", "box", started=START + (i - 200) * SEC) for i in range(400)]
+def test_unusual_lists_lead_to_ready_servers_only() -> None:
+    """Hundreds of servers, starts in the past or the future, one server of each role, or none."""
+    many = [api.Entry(f"c{i}", "edge-1", "box", started=START + (i - 200) * SEC) for i in range(400)]
     for rows in (
-        (*odd, *entries(0)),
+        (*many, *entries(0)),
         entries(1, 1),
         entries(1, 0),
         entries(1, 0, origin=False),
@@ -115,7 +117,7 @@
         assert answered == 50
 
 
-def test_outcomes_and_times_that_make_no_sense_raise_nothing() -> None:
+def test_nonsensical_outcomes_and_times_raise_nothing() -> None:
     router = Router(BASE_SETTINGS, 1)
     router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
     (sent, *_) = router.handle(START, api.Request("r", "no such class", "o", SEC))
@@ -129,63 +131,71 @@
     assert any(isinstance(action, api.Fetch) for action in after)
 
 
-def filled(world: RouterHarness, obj: str, parts: range, after: int) -> list[str]:
-    """Asks for parts of an object that are all filled `after` so long; the parents that were named."""
-    named = []
+def fill_parts(harness: RouterHarness, obj: str, parts: range, after: int) -> list[str]:
+    """Requests parts of an object, each filled within `after`; returns the parents named as sources."""
+    parents = []
     for part in parts:
-        name = f"{obj}-{part}-{next(world.request_numbers)}"
-        ask = api.Request(name, "media", obj, 5 * SEC, group=1, size_kb=100.0, part=part)
-        sent = single_fetch(world.handle(ask, after=100_000))
-        named.append(sent.source)
-        world.handle(api.Finished(name, 0, sent.server, Outcome.SERVED, after, True, Note.FILLED), after)
-    return named
-
-
-def test_a_hot_objects_parts_leave_its_jammed_parent_and_every_router_moves_the_same_ones() -> None:
-    """Seen at 200 routers: 24 parts of one lesson from 33 locations filled one parent's link, three of nine
-    parents jammed while the others were at a third, and each router met each parent once in four seconds."""
-    worlds = [RouterHarness(BASE_SETTINGS, entries(4, 8)) for _ in range(2)]
-    kept: list[dict[int, str]] = []
-    for no, world in enumerate(worlds):
-        calm = filled(world, "hot", range(24), 150_000)
-        assert len(set(calm)) == 1, "one parent for all of an object while its fills come in time"
-        for i in range(20 + 20 * no):  # the rest of the traffic, of which the routers see unlike shares
-            filled(world, f"o{i}", range(1), 150_000)
-        filled(world, "hot", range(24, 48), 1_200_000)
-        kept.append({p: filled(world, "hot", range(p, p + 1), 1_200_000)[0] for p in range(100, 160)})
-        at_home = sum(named == calm[0] for named in kept[-1].values())
-        assert 0 < at_home < 40 and len(set(kept[-1].values())) >= 6, "the rest goes to all the others"
-    same = sum(kept[0][p] == kept[1][p] for p in kept[0])
-    assert same > 40, "one hash of object and part at every router: few parts have two copies above"
+        name = f"{obj}-{part}-{next(harness.request_numbers)}"
+        request = api.Request(name, "media", obj, 5 * SEC, group=1, size_kb=100.0, part=part)
+        sent = single_fetch(harness.handle(request, after=100_000))
+        parents.append(sent.source)
+        harness.handle(api.Finished(name, 0, sent.server, Outcome.SERVED, after, True, Note.FILLED), after)
+    return parents
+
+
+def test_parts_of_a_hot_object_leave_its_jammed_parent_and_every_router_moves_the_same_ones() -> None:
+    """Guards against parents that are jammed by the parts of one object.
+
+    Seen with 200 routers: 24 parts of an object requested from 33 zones filled the link of one parent. Three
+    of nine parents were jammed, the others loaded to a third, and each router used each parent only once in
+    four seconds, too seldom to notice.
+    """
+    harnesses = [RouterHarness(BASE_SETTINGS, entries(4, 8)) for _ in range(2)]
+    parents: list[dict[int, str]] = []  # by router and part
+    for number, harness in enumerate(harnesses):
+        before = fill_parts(harness, "hot", range(24), 150_000)
+        assert len(set(before)) == 1, "all parts have one parent while fills are in time"
+        for i in range(20 + 20 * number):  # other traffic, of which the routers see different amounts
+            fill_parts(harness, f"o{i}", range(1), 150_000)
+        fill_parts(harness, "hot", range(24, 48), 1_200_000)
+        parents.append(
+            {p: fill_parts(harness, "hot", range(p, p + 1), 1_200_000)[0] for p in range(100, 160)}
+        )
+        at_primary = sum(parent == before[0] for parent in parents[-1].values())
+        assert 0 < at_primary < 40 and len(set(parents[-1].values())) >= 6, (
+            "the other parts go to all the other parents"
+        )
+    same_parents = sum(parents[0][p] == parents[1][p] for p in parents[0])
+    assert same_parents > 40, "routers agree on most parts, so few have copies at two parents"
     for i in range(40):
-        quiet = filled(worlds[0], f"q{i}", range(2), 150_000)
-    assert len(set(quiet)) == 1, "back at one parent when fills come in time again"
+        recovered = fill_parts(harnesses[0], f"q{i}", range(2), 150_000)
+    assert len(set(recovered)) == 1, "one parent again once fills are in time"
 
 
-def test_a_parent_is_home_to_half_its_link_as_all_routers_together_would_fill_it() -> None:
-    """Before anything is late: what jams in a second must not wait for a router to see it."""
+def test_primary_fills_take_half_of_a_parents_link_as_all_routers_together_would_send_them() -> None:
+    """A link can jam within a second, so the limit holds before any router notices late fills."""
     rows = tuple(replace(e, weight=20.0) if e.kind == "parent" else e for e in entries(4, 8))
-    named = {}
-    for routers in (4, 200):  # one fill a quarter of a second is 0.4 of a transfer; at 200 routers 80
-        world = RouterHarness(replace(BASE_SETTINGS, routers=routers, nominal_weights=True), rows)
-        filled(world, "hot", range(60), 150_000)
-        named[routers] = set(filled(world, "hot", range(100, 140), 150_000))
-    assert len(named[4]) == 1, "the ordinary path: one parent for an object"
-    assert len(named[200]) == 8
+    parents = {}
+    for routers in (4, 200):  # a fill every 0.25 s loads 0.4 transfers; with 200 routers 80
+        harness = RouterHarness(replace(BASE_SETTINGS, routers=routers, nominal_weights=True), rows)
+        fill_parts(harness, "hot", range(60), 150_000)
+        parents[routers] = set(fill_parts(harness, "hot", range(100, 140), 150_000))
+    assert len(parents[4]) == 1, "an object usually has one parent"
+    assert len(parents[200]) == 8
 
 
-# Guards against requests that each cost a look at all servers: with thousands of them the router would stall.
-def test_what_moves_no_rank_leaves_the_ranks_of_thousands_of_servers() -> None:
+def test_drains_and_changes_elsewhere_keep_the_rankings_of_thousands_of_servers() -> None:
+    """Guards against ranking all servers anew at each request, which would stall a router with thousands."""
     many = entries(3_000, 4)
     elsewhere = api.Entry("s0", "edge-2", "box")
-    world = RouterHarness(with_settings(memo=40_000), (*many, elsewhere))
+    harness = RouterHarness(with_settings(memo=40_000), (*many, elsewhere))
     for number in range(20):
-        world.serve_hit(f"x{number}")
-    ranks = dict(world.router.rankings)
-    assert ranks and all(len(row) <= 64 for row in ranks.values())
-    world.update_servers(api.Entry("c7", "edge-1", "box", state=api.State.DRAINING))
-    world.update_servers(api.Entry("s0", "edge-2", "box", state=api.State.GONE))
-    world.update_servers(api.Entry("s1", "edge-2", "box"))
-    assert dict(world.router.rankings) == ranks
-    world.update_servers(api.Entry("c3001", "edge-1", "box"))
-    assert not world.router.rankings, "a new one takes its objects at once"
+        harness.serve_hit(f"x{number}")
+    rankings = dict(harness.router.rankings)
+    assert rankings and all(len(row) <= 64 for row in rankings.values())
+    harness.update_servers(api.Entry("c7", "edge-1", "box", state=api.State.DRAINING))
+    harness.update_servers(api.Entry("s0", "edge-2", "box", state=api.State.GONE))
+    harness.update_servers(api.Entry("s1", "edge-2", "box"))
+    assert dict(harness.router.rankings) == rankings
+    harness.update_servers(api.Entry("c3001", "edge-1", "box"))
+    assert not harness.router.rankings, "a new server gets its objects at once"
--- a/tests/test_hash.py
+++ b/tests/test_hash.py
@@ -1,4 +1,4 @@
-"""Properties of the winning hash: a loss or a join moves only the objects whose winner changed."""
+"""Properties of the winning hash: a server lost or added moves only the objects whose winner changed."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(IDS, st.lists(st.text(max_size=20), max_size=30), st.data())
-def test_loss_moves_only_the_lost_ones_objects(
+def test_loss_of_a_server_moves_only_its_own_objects(
     servers: list[str], objects: list[str], data: st.DataObject
 ) -> None:
     lost = data.draw(st.sampled_from(servers))
@@ -33,19 +33,20 @@
 
 
 def test_hash_is_pinned() -> None:
-    """Routers of different builds and processes must agree."""
+    """Routers of different builds and processes must compute the same hash."""
     assert [f"{score('a:x', s):.6f}" for s in ("s1", "s2")] == PINNED
 
 
 PINNED = ["0.417404", "0.360814"]
 
 
-def test_part_is_even() -> None:
+def test_admission_hash_is_evenly_distributed() -> None:
     assert 0.27 < sum(admission_hash(f"o{i}", "s") < 0.3 for i in range(4000)) / 4000 < 0.33
 
 
-def test_same_cache_and_parent_for_an_object_whatever_the_order_of_the_list() -> None:
-    one, two = RouterHarness(), RouterHarness(rows=tuple(reversed(entries())))
+def test_cache_and_parent_of_an_object_do_not_depend_on_the_order_of_the_list() -> None:
+    one = RouterHarness()
+    two = RouterHarness(rows=tuple(reversed(entries())))
     for i in range(40):
         a, b = single_fetch(one.request(f"o{i}")[1]), single_fetch(two.request(f"o{i}")[1])
         assert (a.server, a.source) == (b.server, b.source)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each by example and under any order of legal events."""
+"""The five rules of the decisions, each by examples and together under any order of legal events."""
 
 from __future__ import annotations
 
@@ -28,261 +28,274 @@
     with_settings(direct=False, joins=False, come_back=False, subscribe=True),
     with_settings(parent_kind=None, cancel=False, max_attempts=1, nominal_weights=True),
 ]
-STEP = st.tuples(st.integers(0, 7), st.integers(0, 40), st.integers(0, 10), st.integers(0, 1_500_000))
+STEPS = st.tuples(st.integers(0, 7), st.integers(0, 40), st.integers(0, 10), st.integers(0, 1_500_000))
 OUTCOMES = list(Outcome)
 MAY_HAVE_RUN = (Outcome.SERVED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED)
 
 
-class Watch:
-    """Plays legal events at a router and holds it to the rules."""
-
-    def __init__(self, setting: api.Settings, rows: tuple[api.Entry, ...]) -> None:
-        self.set, self.rows, self.now, self.made = setting, rows, START, 0
-        self.router = Router(setting, 3)
-        self.state = {r.server: r.state for r in rows}
-        self.owed: dict[str, api.Request] = {}
-        self.over: set[str] = set()
-        self.out: dict[tuple[str, int], api.Fetch | api.Ask] = {}
-        self.count: dict[str, int] = {}
-        self.ran: dict[str, set[str]] = {}
+class RuleChecker:
+    """Gives a router legal events and checks its actions against the rules."""
+
+    def __init__(self, base: api.Settings, rows: tuple[api.Entry, ...]) -> None:
+        self.settings = base
+        self.rows = rows
+        self.now = START
+        self.requests_made = 0
+        self.router = Router(base, 3)
+        self.states = {r.server: r.state for r in rows}
+        self.unanswered: dict[str, api.Request] = {}
+        self.answered: set[str] = set()
+        self.in_flight: dict[tuple[str, int], api.Fetch | api.Ask] = {}
+        self.attempts_made: dict[str, int] = {}  # by request
+        self.may_have_run_on: dict[str, set[str]] = {}  # servers by request
         self.purged_at = -1
-        self.tokens: list[int] = []
-        self.feed(api.Listing(api.ListKind.CACHED, rows))
+        self.timer_tokens: list[int] = []
+        self.handle(api.Listing(api.ListKind.CACHED, rows))
 
-    def feed(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
+        """Gives the router an event and checks every action that follows."""
         for action in self.router.handle(self.now, event):
             self.check(action)
 
-    def effect(self, name: str) -> api.Effect:
-        return next(c.effect for c in self.set.classes if c.name == self.owed[name].cls)
+    def effect_of(self, name: str) -> api.Effect:
+        """Whether an unanswered request may run twice."""
+        return next(c.effect for c in self.settings.classes if c.name == self.unanswered[name].cls)
 
     def check(self, action: api.Action) -> None:
+        """Checks an action against the rules and records it."""
         match action:
             case api.Fetch() | api.Ask():
-                assert action.id in self.owed, "nothing is sent after the final answer"
-                assert self.state[action.server] == State.READY
+                assert action.id in self.unanswered, "nothing is sent after the final answer"
+                assert self.states[action.server] == State.READY
                 if isinstance(action, api.Fetch):
-                    assert self.state[action.source] == State.READY or action.source == action.server
-                    if self.purged_at >= 0 and self.now - self.purged_at <= self.set.purge_done:
+                    assert self.states[action.source] == State.READY or action.source == action.server
+                    if self.purged_at >= 0 and self.now - self.purged_at <= self.settings.purge_done:
                         assert 0 < action.max_age <= max(1, self.now - self.purged_at)
-                no = self.count.get(action.id, 0)
-                assert no < self.set.max_attempts
-                if not self.set.second_copies:
-                    assert not [k for k in self.out if k[0] == action.id]
-                if self.effect(action.id) is api.Effect.UNSAFE:
-                    assert not self.ran.get(action.id)
-                    assert not [k for k in self.out if k[0] == action.id]
-                self.count[action.id] = no + 1
-                self.out[(action.id, no)] = action
+                number = self.attempts_made.get(action.id, 0)
+                assert number < self.settings.max_attempts
+                if not self.settings.second_copies:
+                    assert not [k for k in self.in_flight if k[0] == action.id]
+                if self.effect_of(action.id) is api.Effect.UNSAFE:
+                    assert not self.may_have_run_on.get(action.id)
+                    assert not [k for k in self.in_flight if k[0] == action.id]
+                self.attempts_made[action.id] = number + 1
+                self.in_flight[(action.id, number)] = action
             case api.Refuse() | api.Fail():
-                assert action.id in self.owed, "one final answer"
-                if isinstance(action, api.Refuse) and self.effect(action.id) is not api.Effect.SAFE:
-                    assert not self.ran.get(action.id)
-                    assert not [k for k in self.out if k[0] == action.id]
-                self.over.add(action.id)
-                del self.owed[action.id]
+                assert action.id in self.unanswered, "one final answer"
+                if isinstance(action, api.Refuse) and self.effect_of(action.id) is not api.Effect.SAFE:
+                    assert not self.may_have_run_on.get(action.id)
+                    assert not [k for k in self.in_flight if k[0] == action.id]
+                self.answered.add(action.id)
+                del self.unanswered[action.id]
             case api.SetTimer():
-                self.tokens.append(action.token)
+                self.timer_tokens.append(action.token)
             case api.Probe():
-                assert self.set.probes
+                assert self.settings.probes
             case api.Cancel():
-                assert self.set.cancel
+                assert self.settings.cancel
 
-    def step(self, kind: int, pick: int, sub: int, wait: int) -> None:
+    def step(self, kind: int, pick: int, variant: int, wait: int) -> None:
+        """Plays one legal event of the kind, `wait` microseconds after the last one."""
         self.now += wait
         if kind <= 1:
-            self.made += 1
-            name = f"r{self.made}"
-            cls = self.set.classes[sub % len(self.set.classes)].name if sub < 9 else "never seen"
-            size = 0.0 if sub % 3 == 0 else 40.0 * sub
-            left = 0 if sub == 5 else 900_000
-            self.owed[name] = api.Request(name, cls, f"o{pick}", left, group=1, size_kb=size)
+            self.requests_made += 1
+            name = f"r{self.requests_made}"
+            cls = (
+                self.settings.classes[variant % len(self.settings.classes)].name
+                if variant < 9
+                else "never seen"
+            )
+            size = 0.0 if variant % 3 == 0 else 40.0 * variant
+            left = 0 if variant == 5 else 900_000
+            self.unanswered[name] = api.Request(name, cls, f"o{pick}", left, group=1, size_kb=size)
             if cls == "never seen":
-                self.set = with_class(self.set, cls)
-            self.feed(self.owed[name])
-        elif kind <= 4 and self.out:
-            name, no = sorted(self.out)[pick % len(self.out)]
-            sent = self.out.pop((name, no))
-            outcome = OUTCOMES[sub % len(OUTCOMES)]
+                self.settings = with_class(self.settings, cls)
+            self.handle(self.unanswered[name])
+        elif kind <= 4 and self.in_flight:
+            name, number = sorted(self.in_flight)[pick % len(self.in_flight)]
+            sent = self.in_flight.pop((name, number))
+            outcome = OUTCOMES[variant % len(OUTCOMES)]
             if outcome in MAY_HAVE_RUN:
-                self.ran.setdefault(name, set()).add(sent.server)
-            over = name in self.over or outcome is Outcome.SERVED
-            if over and name in self.owed:
-                del self.owed[name]
+                self.may_have_run_on.setdefault(name, set()).add(sent.server)
+            over = name in self.answered or outcome is Outcome.SERVED
+            if over and name in self.unanswered:
+                del self.unanswered[name]
             if over:
-                self.over.add(name)
-            self.feed(api.Finished(name, no, sent.server, outcome, wait, over, sub, wait))
-        elif kind == 5 and self.tokens:
-            self.feed(api.TimerDue(self.tokens.pop(pick % len(self.tokens))))
+                self.answered.add(name)
+            self.handle(api.Finished(name, number, sent.server, outcome, wait, over, variant, wait))
+        elif kind == 5 and self.timer_tokens:
+            self.handle(api.TimerDue(self.timer_tokens.pop(pick % len(self.timer_tokens))))
         elif kind == 6:
             row = self.rows[pick % len(self.rows)] if self.rows else api.Entry("new", "edge-1", "box")
-            state = State(sub % 3)
-            self.state[row.server] = state
+            state = State(variant % 3)
+            self.states[row.server] = state
             entry = api.Entry(
-                row.server, row.zone, row.kind, row.cell, state, row.weight, self.now if sub > 5 else 0
+                row.server, row.zone, row.kind, row.cell, state, row.weight, self.now if variant > 5 else 0
             )
-            self.feed(api.Listing(api.ListKind.CHANGES, (entry,)))
+            self.handle(api.Listing(api.ListKind.CHANGES, (entry,)))
         elif kind == 7:
             self.purged_at = max(self.purged_at, self.now - wait)
-            self.feed(api.Purged(1, wait))
+            self.handle(api.Purged(1, wait))
 
     def finish(self) -> None:
-        """At its deadline each request that is still out times out; each must then have its answer."""
+        """Lets every attempt in flight time out at its deadline; then every request must have its answer."""
         self.now += 2 * SEC
-        for name, no in sorted(self.out):
-            sent = self.out.pop((name, no), None)
+        for name, number in sorted(self.in_flight):
+            sent = self.in_flight.pop((name, number), None)
             if sent is not None:
-                self.ran.setdefault(name, set()).add(sent.server)
-                self.feed(api.Finished(name, no, sent.server, Outcome.TIMED_OUT, 2 * SEC, name in self.over))
-        assert not self.owed
+                self.may_have_run_on.setdefault(name, set()).add(sent.server)
+                self.handle(
+                    api.Finished(name, number, sent.server, Outcome.TIMED_OUT, 2 * SEC, name in self.answered)
+                )
+        assert not self.unanswered
 
 
-def with_class(setting: api.Settings, name: str) -> api.Settings:
-    known = (*setting.classes, api.ClassSettings(name, 1, 1))
-    return with_settings_of(setting, known)
+def with_class(base: api.Settings, name: str) -> api.Settings:
+    known = (*base.classes, api.ClassSettings(name, 1, 1))
+    return with_classes(base, known)
 
 
-def with_settings_of(setting: api.Settings, classes: tuple[api.ClassSettings, ...]) -> api.Settings:
+def with_classes(base: api.Settings, classes: tuple[api.ClassSettings, ...]) -> api.Settings:
     from dataclasses import replace
 
-    return replace(setting, classes=classes)
+    return replace(base, classes=classes)
 
 
 @settings(derandomize=True, max_examples=120, deadline=None)
 @given(
     st.integers(0, 3),
     st.sampled_from([(4, 2, True), (1, 1, True), (1, 0, False), (0, 1, True)]),
-    st.lists(STEP),
+    st.lists(STEPS),
 )
 def test_rules_hold_for_any_order_of_events(
-    which: int, fleet: tuple[int, int, bool], steps: list[tuple[int, int, int, int]]
+    settings_index: int, fleet: tuple[int, int, bool], steps: list[tuple[int, int, int, int]]
 ) -> None:
-    watch = Watch(SETTINGS[which], entries(*fleet))
+    checker = RuleChecker(SETTINGS[settings_index], entries(*fleet))
     for step in steps:
-        watch.step(*step)
-    watch.finish()
+        checker.step(*step)
+    checker.finish()
 
 
-def test_no_server_at_all_refuses_at_once() -> None:
-    world = RouterHarness(rows=())
-    name, actions = world.request()
+def test_without_servers_a_request_is_refused_at_once() -> None:
+    harness = RouterHarness(rows=())
+    name, actions = harness.request()
     assert final_answers(actions) == [api.Refuse(name, 500_000)]
 
 
-def test_no_time_left_is_answered_at_once() -> None:
+def test_a_request_without_time_left_is_refused_at_once() -> None:
     name, actions = RouterHarness().request(time_left=0)
     assert not sent_attempts(actions) and final_answers(actions) == [api.Refuse(name, 500_000)]
 
 
-def test_unsafe_that_may_have_run_fails_and_is_not_resent() -> None:
-    world = RouterHarness()
-    name, actions = world.request(cls="sign")
+def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+    harness = RouterHarness()
+    name, actions = harness.request(cls="sign")
     (sent,) = sent_attempts(actions)
     assert sent.server == "o"
-    assert final_answers(world.finish(name, sent, Outcome.BROKEN)) == [api.Fail(name)]
+    assert final_answers(harness.finish(name, sent, Outcome.BROKEN)) == [api.Fail(name)]
 
 
-def test_unsafe_that_surely_never_ran_goes_elsewhere() -> None:
-    world = RouterHarness()
-    name, actions = world.request(cls="sign")
+def test_an_unsafe_request_that_never_ran_is_sent_elsewhere() -> None:
+    harness = RouterHarness()
+    name, actions = harness.request(cls="sign")
     (sent,) = sent_attempts(actions)
-    after = world.finish(name, sent, Outcome.UNREACHABLE)
+    after = harness.finish(name, sent, Outcome.UNREACHABLE)
     assert sent_attempts(after) and not final_answers(after)
 
 
-def test_keyed_stays_in_its_cell_and_window() -> None:
-    world = RouterHarness(with_settings(direct=False))
-    name, actions = world.request(cls=KEYED.name)
+def test_a_keyed_request_is_repeated_in_its_cell_and_window_only() -> None:
+    harness = RouterHarness(with_settings(direct=False))
+    name, actions = harness.request(cls=KEYED.name)
     sent = single_fetch(actions)
     cell = int(sent.server[1]) // 2
-    again = sent_attempts(world.finish(name, sent, Outcome.BROKEN, after=1000))
+    again = sent_attempts(harness.finish(name, sent, Outcome.BROKEN, after=1000))
     assert [int(a.server[1]) // 2 for a in again] == [cell]
-    late = world.finish(name, again[0], Outcome.BROKEN, after=2 * SEC, attempt=1)
+    late = harness.finish(name, again[0], Outcome.BROKEN, after=2 * SEC, attempt=1)
     assert not sent_attempts(late) and final_answers(late) == [api.Fail(name)]
 
 
-def test_drained_server_is_neither_asked_nor_named_from_the_event_on() -> None:
-    world = RouterHarness()
-    home = world.serve_hit("x")
-    world.update_servers(api.Entry(home.server, "edge-1", "box", state=State.DRAINING))
-    world.update_servers(api.Entry(home.source, "hub", "parent", state=State.DRAINING))
-    moved = single_fetch(world.request("x")[1])
-    assert moved.server != home.server and moved.source != home.source
+def test_a_draining_server_is_no_longer_used_as_server_or_source() -> None:
+    harness = RouterHarness()
+    first = harness.serve_hit("x")
+    harness.update_servers(api.Entry(first.server, "edge-1", "box", state=State.DRAINING))
+    harness.update_servers(api.Entry(first.source, "hub", "parent", state=State.DRAINING))
+    moved = single_fetch(harness.request("x")[1])
+    assert moved.server != first.server and moved.source != first.source
 
 
-def test_full_list_without_a_server_removes_it() -> None:
-    world = RouterHarness()
-    home = world.serve_hit("x")
-    world.handle(api.Listing(api.ListKind.FULL, tuple(e for e in entries() if e.server != home.server)))
-    assert single_fetch(world.request("x")[1]).server != home.server
+def test_a_full_list_without_a_server_removes_it() -> None:
+    harness = RouterHarness()
+    first = harness.serve_hit("x")
+    harness.handle(api.Listing(api.ListKind.FULL, tuple(e for e in entries() if e.server != first.server)))
+    assert single_fetch(harness.request("x")[1]).server != first.server
 
 
-def test_purge_bounds_the_age_until_no_old_copy_can_be_left() -> None:
-    world = RouterHarness()
-    world.handle(api.Purged(1, 200_000, "x"))
-    assert single_fetch(world.request("x")[1]).max_age in range(1, 200_001)
-    world.now += 1 * SEC
-    assert 1 * SEC < single_fetch(world.request("x", "pages")[1]).max_age <= 1_200_000
-    assert single_fetch(world.request("y")[1]).max_age == 0
-    world.now += 10 * SEC
-    assert single_fetch(world.request("x")[1]).max_age == 0
+def test_a_purge_limits_the_age_of_copies_until_it_is_complete() -> None:
+    harness = RouterHarness()
+    harness.handle(api.Purged(1, 200_000, "x"))
+    assert single_fetch(harness.request("x")[1]).max_age in range(1, 200_001)
+    harness.now += 1 * SEC
+    assert 1 * SEC < single_fetch(harness.request("x", "pages")[1]).max_age <= 1_200_000
+    assert single_fetch(harness.request("y")[1]).max_age == 0
+    harness.now += 10 * SEC
+    assert single_fetch(harness.request("x")[1]).max_age == 0
 
 
-def test_purge_of_this_very_moment_is_no_bound_of_zero() -> None:
-    world = RouterHarness()
-    world.handle(api.Purged(1, 0))
-    assert single_fetch(world.request("x")[1]).max_age == 1
+def test_a_purge_at_this_moment_gives_an_age_limit_above_zero() -> None:
+    harness = RouterHarness()
+    harness.handle(api.Purged(1, 0))
+    assert single_fetch(harness.request("x")[1]).max_age == 1
 
 
-def test_cold_cache_gets_a_part_of_its_objects_and_no_more_than_its_budget() -> None:
-    world = RouterHarness()
+def test_a_cold_cache_gets_some_of_its_objects_within_its_budget() -> None:
+    harness = RouterHarness()
     for i in range(200):
-        world.serve_hit(f"o{i}")
-    cold = api.Entry("c0", "edge-1", "box", started=world.now)
-    world.update_servers(cold)
-    hits = [single_fetch(world.request(f"n{i}")[1]).server for i in range(400)]
-    assert 0 < hits.count("c0") < 0.4 * 400 / 4
+        harness.serve_hit(f"o{i}")
+    cold = api.Entry("c0", "edge-1", "box", started=harness.now)
+    harness.update_servers(cold)
+    servers = [single_fetch(harness.request(f"n{i}")[1]).server for i in range(400)]
+    assert 0 < servers.count("c0") < 0.4 * 400 / 4
 
 
-def test_cold_parent_gets_a_part_of_its_objects() -> None:
-    world = RouterHarness()
+def test_a_cold_parent_gets_only_some_of_its_objects() -> None:
+    harness = RouterHarness()
     for i in range(100):
-        world.serve_hit(f"o{i}")
-    world.update_servers(api.Entry("p0", "hub", "parent", started=world.now))
-    named = [single_fetch(world.request(f"n{i}")[1]).source for i in range(400)]
-    assert named.count("p0") < 0.3 * 400 / 2
+        harness.serve_hit(f"o{i}")
+    harness.update_servers(api.Entry("p0", "hub", "parent", started=harness.now))
+    sources = [single_fetch(harness.request(f"n{i}")[1]).source for i in range(400)]
+    assert sources.count("p0") < 0.3 * 400 / 2
 
 
-def test_note_of_a_lost_source_is_not_booked_to_the_cache() -> None:
-    world = RouterHarness()
+def test_a_lost_source_is_not_blamed_on_the_cache() -> None:
+    harness = RouterHarness()
     for i in range(40):
-        name, actions = world.request(f"o{i}")
+        name, actions = harness.request(f"o{i}")
         sent = single_fetch(actions)
         if sent.source == "p0":
-            again = world.finish(name, sent, Outcome.FULL, Note.SOURCE_LOST, after=1000)
+            again = harness.finish(name, sent, Outcome.FULL, Note.SOURCE_LOST, after=1000)
             assert sent_attempts(again)[0].server == sent.server
-    assert single_fetch(world.request("z")[1]).source == "p1"
-    assert world.router.servers["p0"].ejected_until and not world.router.servers["c0"].ejected_until
+    assert single_fetch(harness.request("z")[1]).source == "p1"
+    assert harness.router.servers["p0"].ejected_until and not harness.router.servers["c0"].ejected_until
 
 
-def test_small_requests_to_a_cold_cache_count_as_the_mean_of_their_class() -> None:
-    """A found day sent a cold cache many small ones: booked at their own size, where the mean counts."""
-    world = RouterHarness()
+def test_small_requests_to_a_cold_cache_count_with_the_mean_work_of_their_class() -> None:
+    """Guards against too many small requests to a cold cache, as if each counted only with its own size."""
+    harness = RouterHarness()
     for i in range(50):
-        name, actions = world.request(f"o{i}", size_kb=400.0)
-        world.finish(name, single_fetch(actions), note=Note.HIT, after=400_000)
-    world.update_servers(api.Entry("c0", "edge-1", "box", started=world.now))
-    sent = [single_fetch(world.request(f"n{i}", size_kb=1.0)[1]).server for i in range(60)].count("c0")
-    assert sent and world.router.servers["c0"].slow_start_work.total > sent * 150_000
+        name, actions = harness.request(f"o{i}", size_kb=400.0)
+        harness.finish(name, single_fetch(actions), note=Note.HIT, after=400_000)
+    harness.update_servers(api.Entry("c0", "edge-1", "box", started=harness.now))
+    sent = [single_fetch(harness.request(f"n{i}", size_kb=1.0)[1]).server for i in range(60)].count("c0")
+    assert sent and harness.router.servers["c0"].slow_start_work.total > sent * 150_000
 
 
-def test_budget_does_not_swell_with_what_clients_repeat() -> None:
-    """Incident i341efe: refused clients asked again, and the guess of a parent's capacity grew with them."""
-    world = RouterHarness()
+def test_slow_start_budget_does_not_grow_with_repeated_requests() -> None:
+    """Incident i341efe: refused clients repeated their requests, and a parent's estimated capacity grew."""
+    harness = RouterHarness()
     for i in range(50):
-        name, actions = world.request(f"o{i}")
-        world.finish(name, single_fetch(actions), note=Note.FILLED)
-    before = world.router.capacity_share(world.router.servers["p0"])
+        name, actions = harness.request(f"o{i}")
+        harness.finish(name, single_fetch(actions), note=Note.FILLED)
+    before = harness.router.capacity_share(harness.router.servers["p0"])
     for i in range(200):
-        world.request(f"m{i}")
-    assert world.router.capacity_share(world.router.servers["p0"]) <= before
+        harness.request(f"m{i}")
+    assert harness.router.capacity_share(harness.router.servers["p0"]) <= before
