--- a/onyxpulley/router.py
+++ b/onyxpulley/router.py
@@ -13,7 +13,7 @@
 from onyxpulley import interface as api
 from onyxpulley.bounded_state import BoundedDict, DecayingRate
 from onyxpulley.hashing import admission_hash, scores
-from onyxpulley.interface import Effect, Note, Outcome, State
+from onyxpulley.interface import Effect, Note, Outcome, ServerState
 from onyxpulley.pending_requests import Attempt, PendingRequest
 from onyxpulley.server_state import PRIMARY_FILL_TIME_CONSTANT, Server
 
@@ -60,7 +60,7 @@
 UNKNOWN_SIZE_FACTOR = 3.0
 RETRIES_PER_REQUEST = 0.3  # what each request adds to the retry budget
 MAX_RETRY_BUDGET = 60.0  # retries
-FAILED_FILL_NOTES = (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.SOURCE_LACKS, Note.ORIGIN_FAILED)
+FAILED_FILL_NOTES = (Note.SOURCE_REFUSED, Note.SOURCE_LOST, Note.SOURCE_MISS, Note.ORIGIN_FAILED)
 
 # ---- Admission shares
 # Latency ratios, measured over expected: a share shrinks above the first and grows below the second.
@@ -127,14 +127,16 @@
         self.servers_by_role: dict[str, list[Server]] = {}  # memoised until the list changes
         self.gone_ids: set[str] = set()  # servers that left the list and are still needed, see must_be_kept
         self.origin: Server | None = None
-        self.inbound_link = Server(api.Entry("", "", ""), "inlet")  # passed by all fills of this zone
-        self.rankings: BoundedDict[tuple[str, str], tuple[Server, ...]] = BoundedDict(settings.memo)
+        self.inbound_link = Server(api.ServerEntry("", "", ""), "inlet")  # passed by all fills of this zone
+        self.rankings: BoundedDict[tuple[str, str], tuple[Server, ...]] = BoundedDict(
+            settings.max_tracked_objects
+        )
         self.next_share_update = 0  # no server's admission share is due for a change before this time
         self.mean_latency_ratios: dict[str, float] = {}  # by role, memoised during an update of the shares
 
         self.purge_times: dict[tuple[str, object], int] = {}  # by ("object", name) or ("group", number)
         # by object and part
-        self.learned_work: BoundedDict[tuple[str, int], float] = BoundedDict(settings.memo)
+        self.learned_work: BoundedDict[tuple[str, int], float] = BoundedDict(settings.max_tracked_objects)
         self.mean_work_by_class: dict[str, float] = {}
         self.mean_work_per_worth = 100.0 * MS
         self.base_latency = 20.0 * MS  # latency of a hit beyond the work of sending it
@@ -143,16 +145,16 @@
         self.request_load = DecayingRate(LOAD_TIME_CONSTANT)  # work of all requests
         self.served_load = DecayingRate(LOAD_TIME_CONSTANT)  # work of all answers
         self.fill_load = DecayingRate(LOAD_TIME_CONSTANT)  # work of all fills
-        self.object_load: BoundedDict[str, DecayingRate] = BoundedDict(settings.memo)
+        self.object_load: BoundedDict[str, DecayingRate] = BoundedDict(settings.max_tracked_objects)
         self.own_link_free_at = 0.0  # when this router's link will have sent all answers from its own copies
 
     def configure(self, settings: api.Settings) -> None:
         """Replaces the settings. Pending requests keep the settings of their class, servers their roles."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
-        self.rankings.reset(settings.memo, min(MAX_RANKED, len(self.servers)))
+        self.rankings.reset(settings.max_tracked_objects, min(MAX_RANKED, len(self.servers)))
         for table in (self.learned_work, self.object_load):
-            table.max_entries = settings.memo
+            table.max_entries = settings.max_tracked_objects
 
     # ---- Membership and ranking
     def ranking(self, role: str, obj: str) -> tuple[Server, ...]:
@@ -164,7 +166,7 @@
         ranking = self.rankings.get(key)
         if ranking is None:
             servers = self.listed_servers(role)
-            weighted = self.settings.nominal_weights
+            weighted = self.settings.weights_are_nominal
             values = scores(obj, ((s.id, s.weight if weighted else 1.0) for s in servers))
             rows = zip(values, servers, strict=True)
             best = nsmallest(MAX_RANKED, rows, key=lambda row: (-row[0], row[1].id))
@@ -174,11 +176,11 @@
     def listed_servers(self, role: str) -> list[Server]:
         """All servers of a role that are listed, draining ones included. Memoised until the list changes."""
         if role not in self.servers_by_role:
-            servers = [s for s in self.servers.values() if s.role == role and s.state != State.GONE]
+            servers = [s for s in self.servers.values() if s.role == role and s.state != ServerState.GONE]
             self.servers_by_role[role] = servers
         return self.servers_by_role[role]
 
-    def role_of(self, entry: api.Entry) -> str:
+    def role_of(self, entry: api.ServerEntry) -> str:
         """The role of a server: parent, origin, cache of this router's zone or sibling in another zone."""
         if entry.kind == self.settings.parent_kind:
             return "parent"
@@ -186,16 +188,16 @@
             return "origin"
         return "cache" if entry.zone == self.settings.zone else "sibling"
 
-    def on_listing(self, event: api.Listing) -> None:
+    def on_listing(self, event: api.MembershipUpdate) -> None:
         """Applies a full list or changes of it. After a failure the list is requested again later."""
-        if event.kind is api.ListKind.FAILED:
+        if event.kind is api.UpdateKind.FAILED:
             return self.set_timer(None, BASE_EJECTION_TIME)
-        changed = event.kind in (api.ListKind.FULL, api.ListKind.CACHED)
+        changed = event.kind in (api.UpdateKind.FULL, api.UpdateKind.CACHED)
         if changed:
             listed = {e.server for e in event.entries}
             for server in self.servers.values():
                 if server.id not in listed:
-                    server.state = State.GONE
+                    server.state = ServerState.GONE
                     self.gone_ids.add(server.id)
         for entry in event.entries:
             changed = self.apply_entry(entry) or changed
@@ -205,34 +207,34 @@
         if changed:
             self.next_share_update = 0
             self.servers_by_role.clear()
-            self.rankings.reset(self.settings.memo, min(MAX_RANKED, len(self.servers)))
-        self.origin = next((s for s in self.listed_servers("origin") if s.state == State.READY), None)
+            self.rankings.reset(self.settings.max_tracked_objects, min(MAX_RANKED, len(self.servers)))
+        self.origin = next((s for s in self.listed_servers("origin") if s.state == ServerState.READY), None)
         if self.settings.subscribe and not self.subscribed:
             self.subscribed = True
             self.actions.append(api.Subscribe())
 
-    def apply_entry(self, entry: api.Entry) -> bool:
+    def apply_entry(self, entry: api.ServerEntry) -> bool:
         """Applies one entry of the list; true if it changes a ranking, which drains and siblings do not."""
         if entry.server not in self.servers:
             self.servers[entry.server] = Server(entry, self.role_of(entry))
         server = self.servers[entry.server]
-        before = server.state == State.GONE, server.weight
+        before = server.state == ServerState.GONE, server.weight
         server.weight = entry.weight if entry.weight > 0 else 1.0
-        restarted = entry.started > 0 and entry.started != server.started
-        if restarted or (server.state == State.GONE and entry.state == State.READY):
-            cold = entry.started > 0 and self.now - entry.cold_since < self.slow_start_time(server)
+        restarted = entry.start_time > 0 and entry.start_time != server.start_time
+        if restarted or (server.state == ServerState.GONE and entry.state == ServerState.READY):
+            cold = entry.start_time > 0 and self.now - entry.cold_since < self.warm_up_time(server)
             server.reset(entry.cold_since if cold else 0)
             self.next_share_update = 0
             if cold and self.now < self.started_at + self.settings.cold_window:
                 # the process that this router replaced may have used up the allowance
                 server.slow_start_work.add(self.started_at, self.slow_start_allowance(server))
-        server.started = entry.started
+        server.start_time = entry.start_time
         server.state = entry.state
-        if entry.state == State.GONE:
+        if entry.state == ServerState.GONE:
             self.gone_ids.add(entry.server)
         else:
             self.gone_ids.discard(entry.server)
-        return server.role != "sibling" and before != (server.state == State.GONE, server.weight)
+        return server.role != "sibling" and before != (server.state == ServerState.GONE, server.weight)
 
     def must_be_kept(self, gone: Server) -> bool:
         """Whether a gone server is still needed, for attempts in flight or its slow start window."""
@@ -240,9 +242,9 @@
         return bool(gone.in_flight) or gone.slow_start_work.has_work_within(self.now, window)
 
     # ---- Slow start and capacity
-    def slow_start_time(self, server: Server) -> int:
+    def warm_up_time(self, server: Server) -> int:
         """How long a server counts as cold after its start."""
-        return self.settings.parent_cold_time if server.role == "parent" else self.settings.cold_time
+        return self.settings.parent_warm_up_time if server.role == "parent" else self.settings.warm_up_time
 
     def slow_start_factor(self, server: Server) -> float:
         """The part of its capacity that a server surely has by now, 1.0 when it is warm.
@@ -253,8 +255,12 @@
         if not server.slow_start_since or server.role == "origin":  # the common case, on a hot path
             return 1.0
         age = self.now - server.slow_start_since
-        duration = self.slow_start_time(server)
-        initial = self.settings.parent_cold_from if server.role == "parent" else self.settings.cold_from
+        duration = self.warm_up_time(server)
+        initial = (
+            self.settings.parent_cold_initial_share
+            if server.role == "parent"
+            else self.settings.cold_initial_share
+        )
         return initial + (1.0 - initial) * min(1.0, max(0, age) / duration)
 
     def capacity_share(self, server: Server) -> float:
@@ -266,9 +272,9 @@
         """
         is_parent = server.role == "parent"
         sharers = self.settings.routers if is_parent else self.settings.zone_routers
-        if self.settings.nominal_weights:
+        if self.settings.weights_are_nominal:
             return server.weight / max(1, sharers)
-        peers = sum(s.role == server.role and s.state == State.READY for s in self.servers.values())
+        peers = sum(s.role == server.role and s.state == ServerState.READY for s in self.servers.values())
         return (self.fill_load if is_parent else self.served_load).rate(self.now) / max(1, peers)
 
     def slow_start_allowance(self, server: Server) -> float:
@@ -276,7 +282,7 @@
         factor = self.slow_start_factor(server)
         is_parent = server.role == "parent"
         multiple = self.settings.parent_cold_multiple if is_parent else self.settings.cold_multiple
-        weighted = self.settings.nominal_weights
+        weighted = self.settings.weights_are_nominal
         budget_share = SLOW_START_BUDGET_SHARE if weighted else SLOW_START_BUDGET_SHARE_UNWEIGHTED
         return budget_share * multiple * factor * self.capacity_share(server) * self.settings.cold_window
 
@@ -370,7 +376,7 @@
         less the part that waits for sources. Without reports it is the measured ratio. That one speaks of
         requests sent earlier, so it admits too many in a surge and refuses requests for idle caches after it.
         """
-        if not server.load_reported_at or not self.settings.nominal_weights or server.role != "cache":
+        if not server.load_reported_at or not self.settings.weights_are_nominal or server.role != "cache":
             return self.current_latency_ratio(server)
         others = server.load_of_others * math.exp((server.load_reported_at - self.now) / REPORT_TIME_CONSTANT)
         sending = max(0.0, 1.0 - server.mean_source_wait / server.mean_latency)
@@ -393,11 +399,11 @@
         An ejected server whose ejection time is over gets one request as a probe, unless only a successful
         active probe reinstates it. The origin is usable whenever it is ready.
         """
-        if server.state != State.READY:
+        if server.state != ServerState.READY:
             return False
         if not server.ejected_until or server.role == "origin":
             return True
-        needs_active_probe = self.settings.probes and server.unresponsive
+        needs_active_probe = self.settings.may_probe and server.unresponsive
         return self.now >= server.ejected_until and not server.probe_in_flight and not needs_active_probe
 
     def record_failure(self, server: Server, unresponsive: bool = False, error_answer: bool = False) -> None:
@@ -425,7 +431,7 @@
         server.ejection_time = min(MAX_EJECTION_TIME, max(shortest, 2 * server.ejection_time))
         server.ejected_until = self.now + server.ejection_time
         server.probe_in_flight = False
-        if self.settings.probes and server.unresponsive:
+        if self.settings.may_probe and server.unresponsive:
             self.set_timer(server, server.ejection_time)
         for attempt in list(server.in_flight.values()):
             if server.unresponsive and attempt.server is server:
@@ -468,14 +474,14 @@
     # ---- Purges
     def on_purged(self, event: api.Purged) -> None:
         """Records when an object or group was purged."""
-        if len(self.purge_times) > self.settings.memo:
+        if len(self.purge_times) > self.settings.max_tracked_objects:
             self.purge_times = {k: t for k, t in self.purge_times.items() if not self.is_purge_complete(t)}
         key = ("object", event.object) if event.object else ("group", event.group)
         self.purge_times[key] = max(self.purge_times.get(key, -(2**62)), self.now - event.age)
 
     def is_purge_complete(self, purged_at: int) -> bool:
         """Whether no copy from before a purge can be left anywhere."""
-        return self.now - purged_at > self.settings.purge_done + self.settings.purge_grace
+        return self.now - purged_at > self.settings.purge_duration + self.settings.purge_grace
 
     def max_age(self, pending: PendingRequest) -> int:
         """The greatest age of a copy that may answer the request (rule 5), 0 for no limit.
@@ -485,12 +491,16 @@
         """
         cls = pending.cls
         request = pending.request
-        age = cls.fresh + cls.grace if pending.accepts_stale and cls.fresh and cls.grace else 0
+        age = (
+            cls.freshness_lifetime + cls.grace
+            if pending.accepts_stale and cls.freshness_lifetime and cls.grace
+            else 0
+        )
         for key in (("object", request.object), ("group", request.group), ("group", None)):
             purged_at = self.purge_times.get(key)
             if purged_at is not None and not self.is_purge_complete(purged_at):
                 limit = max(1, self.now - purged_at - 1)
-                age = min(age or cls.fresh or limit, limit)
+                age = min(age or cls.freshness_lifetime or limit, limit)
         return age
 
     # ---- Admission by expected time
@@ -514,9 +524,11 @@
         for attempt in pending.open_attempts.values():
             self.cancel_attempt(attempt)
         cls = pending.cls
-        repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group == "all")
+        repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.dedup_by == "all")
         if repeatable or not pending.may_have_run:
-            retry_after = min(self.settings.max_come_back, 500 * MS) if self.settings.come_back else 0
+            retry_after = (
+                min(self.settings.max_retry_after, 500 * MS) if self.settings.sends_retry_after else 0
+            )
             self.actions.append(api.Refuse(pending.request.id, retry_after))
         else:
             self.actions.append(api.Fail(pending.request.id))
@@ -552,7 +564,7 @@
         """
         request = pending.request
         work = self.mean_work(request)
-        may_go_to_origin = pending.cls.uncached and self.settings.direct
+        may_go_to_origin = pending.cls.uncached and self.settings.bypass_allowed
         if may_go_to_origin and self.origin and self.origin.id not in pending.excluded_ids:
             return self.origin if self.may_send_to(pending, self.origin) else None
         ranking = self.ranking("cache", request.object)
@@ -574,7 +586,7 @@
             if self.within_slow_start_budget(server, work) and self.would_be_in_time(pending, server):
                 return server
         link_ratio = self.current_latency_ratio(self.inbound_link)
-        if self.settings.direct and (not usable or link_ratio <= OVERLOAD_LATENCY_RATIO):
+        if self.settings.bypass_allowed and (not usable or link_ratio <= OVERLOAD_LATENCY_RATIO):
             source = self.choose_source(pending, 1.0, None)
             return source if source is not None and self.may_send_to(pending, source) else None
         return None
@@ -590,11 +602,11 @@
             return True
         if cls.effect is Effect.UNSAFE or pending.may_have_run_on is None:
             return False
-        if self.now - pending.may_have_run_since >= cls.repeat_window:
+        if self.now - pending.may_have_run_since >= cls.dedup_window:
             return False
-        if cls.group == "cell":
+        if cls.dedup_by == "cell":
             return server.cell == pending.may_have_run_on.cell
-        return cls.group == "all" or server.zone == pending.may_have_run_on.zone
+        return cls.dedup_by == "all" or server.zone == pending.may_have_run_on.zone
 
     def choose_source(self, pending: PendingRequest, miss_rate: float, cache: Server | None) -> Server | None:
         """Where a cache fills a miss from, or which source is asked directly if `cache` is None.
@@ -626,7 +638,7 @@
         copies at parents.
         """
         name = f"{pending.request.object}/{pending.request.part}"
-        weighted = self.settings.nominal_weights
+        weighted = self.settings.weights_are_nominal
         others = set(parents[1:])
         fills_late = self.current_latency_ratio(self.inbound_link) > NORMAL_LATENCY_RATIO
         rest = [p for p in self.ranking("parent", name) if p in others]
@@ -654,7 +666,7 @@
         cls = self.classes.get(request.cls) or api.ClassSettings(request.cls, time_left, time_left)
         pending = PendingRequest(request, cls, self.now)
         if self.reserve_own_copy(pending):
-            self.actions.append(api.Own(request.id))
+            self.actions.append(api.ServeOwnCopy(request.id))
             return
         self.pending_requests[request.id] = pending
         pending.accepts_stale = self.origin is not None and self.origin.refusal_rate > OVERLOAD_REFUSAL_RATE
@@ -682,13 +694,13 @@
         """
         request = pending.request
         cls = pending.cls
-        if request.own is None or self.settings.own_transfers <= 0 or cls.uncached:
+        if request.own_copy_age is None or self.settings.link_transfers <= 0 or cls.uncached:
             return False
-        max_age = self.max_age(pending) or cls.fresh
-        if max_age and request.own > max_age - OWN_COPY_AGE_MARGIN:
+        max_age = self.max_age(pending) or cls.freshness_lifetime
+        if max_age and request.own_copy_age > max_age - OWN_COPY_AGE_MARGIN:
             return False
-        work = self.estimated_work(request) * (CONFIRMATION_COST if request.confirm else 1.0)
-        free_at = max(float(self.now), self.own_link_free_at) + work / self.settings.own_transfers
+        work = self.estimated_work(request) * (CONFIRMATION_COST if request.client_has_copy else 1.0)
+        free_at = max(float(self.now), self.own_link_free_at) + work / self.settings.link_transfers
         aim = OWN_COPY_AIM_SHARE * (cls.aim + cls.aim_stretch * work)
         limit = min(aim, pending.deadline - self.now - LATE_MARGIN)
         if max(work, free_at - self.now) > limit:
@@ -740,20 +752,20 @@
             if party is not None and party.ejected_until:
                 party.probe_in_flight = True
         source_id = source.id if source is not None else server.id
-        time_out = pending.deadline - self.now
+        timeout = pending.deadline - self.now
         if cls.uncached and server.role != "cache":
-            self.actions.append(api.Ask(request.id, server.id, time_out))
+            self.actions.append(api.Forward(request.id, server.id, timeout))
         else:
             # a copy of an object that was requested before ranks above one that was requested only once
             rank = 0 if not is_cache or cls.uncached else 2 if request.object in self.object_load else 1
-            renew = cls.fresh > 0 and is_cache
+            renew = cls.freshness_lifetime > 0 and is_cache
             max_age = self.max_age(pending)
-            join = self.settings.joins
+            join = self.settings.may_join
             attempt.only_held = source is None or not (
                 cls.uncached or self.may_fill_from_origin(source, pending, work)
             )
             held = attempt.only_held and source is not None
-            fields = (request.id, server.id, time_out, source_id, rank, max_age, join, held, renew)
+            fields = (request.id, server.id, timeout, source_id, rank, max_age, join, held, renew)
             self.actions.append(api.Fetch(*fields))
         late_after = LATE_FACTOR * attempt.expected_latency + LATE_FILL_FACTOR * self.fill_latency
         self.set_timer(attempt, int(late_after) + LATE_MARGIN)
@@ -772,10 +784,10 @@
                 self.actions.append(api.Subscribe())
             return
         if isinstance(target, Server):
-            if target.ejected_until and target.state == State.READY and not target.probe_in_flight:
+            if target.ejected_until and target.state == ServerState.READY and not target.probe_in_flight:
                 self.actions.append(api.Probe(target.id))
                 target.probe_in_flight = True
-            elif target.ejected_until and target.state != State.GONE:
+            elif target.ejected_until and target.state != ServerState.GONE:
                 self.set_timer(target, BASE_EJECTION_TIME)
             return
         pending = target.pending
@@ -821,16 +833,16 @@
             pending.excluded_ids.add(attempt.server.id)
         pending.retried_same_server = pending.retried_same_server or same_server
         attempt.reissued = True
-        if self.settings.second_copies:
+        if self.settings.may_hedge:
             self.retry_budget -= 1.0
             self.start_attempt(pending)
-        elif self.settings.cancel:
+        elif self.settings.may_cancel:
             self.actions.append(api.Cancel(pending.request.id, attempt.number))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Forgets an attempt and cancels it where the settings allow it."""
         attempt.server.in_flight.pop((attempt.pending.request.id, attempt.number), None)
-        if self.settings.cancel:
+        if self.settings.may_cancel:
             self.actions.append(api.Cancel(attempt.pending.request.id, attempt.number))
 
     def inferred_note(self, attempt: Attempt, event: api.Finished) -> int:
@@ -841,9 +853,9 @@
         """
         if event.note != Note.NONE or attempt.source is None or self.settings.notes == "all":
             return event.note
-        if event.outcome is Outcome.FULL and event.took > 2 * self.settings.tick:
+        if event.outcome is Outcome.FULL and event.duration > 2 * self.settings.tick:
             return Note.SOURCE_REFUSED
-        is_late_error = event.outcome is Outcome.ERROR and event.took >= QUICK_ERROR_TIME
+        is_late_error = event.outcome is Outcome.ERROR and event.duration >= QUICK_ERROR_TIME
         return Note.SOURCE_LOST if is_late_error else Note.NONE
 
     def attribute_failure(self, attempt: Attempt, event: api.Finished, note: int) -> None:
@@ -864,7 +876,7 @@
                 self.record_failure(source, unresponsive=True)
             else:  # overloaded, not failed: an ejection would move all its objects
                 self.record_latency(source, REFUSAL_LATENCY_RATIO, refused=True)
-        elif note == Note.NO_FILL_PLACE or (outcome is Outcome.FULL and note == Note.NONE):
+        elif note == Note.NO_FILL_CAPACITY or (outcome is Outcome.FULL and note == Note.NONE):
             self.record_latency(server, REFUSAL_LATENCY_RATIO)
         elif outcome is Outcome.TIMED_OUT:
             silent = server if server.answered_at < attempt.sent_at else source
@@ -882,8 +894,8 @@
         if pending is None or attempt is None:
             return
         server = attempt.server
-        if event.load and "busy_reqs" in self.settings.report:
-            busy_requests = event.load[self.settings.report.index("busy_reqs")]
+        if event.load and "busy_reqs" in self.settings.load_report_fields:
+            busy_requests = event.load[self.settings.load_report_fields.index("busy_reqs")]
             # a repeated report is older than what has been sent to the server since
             age = self.now - server.load_reported_at
             if event.load != server.load_report or age > REPORT_TIME_CONSTANT / 2:
@@ -891,7 +903,7 @@
                 server.load_reported_at = self.now
                 server.load_of_others = max(0.0, busy_requests - len(server.in_flight))
         server.mean_source_wait += SMOOTHING_FACTOR * (event.waited - server.mean_source_wait)
-        server.mean_latency += SMOOTHING_FACTOR * (event.took - server.mean_latency)
+        server.mean_latency += SMOOTHING_FACTOR * (event.duration - server.mean_latency)
         outcome = event.outcome
         note = self.inferred_note(attempt, event)
         self.record_fill(attempt, event)
@@ -907,7 +919,7 @@
                     party.probe_in_flight = False
         if outcome in api.NEVER_RAN and not pending.open_attempts and attempt.first_possible_run:
             pending.may_have_run = False
-        if event.over:
+        if event.request_done:
             for other in pending.open_attempts.values():
                 self.cancel_attempt(other)
             self.pending_requests.pop(event.id, None)
@@ -978,43 +990,45 @@
         server = attempt.server
         source = attempt.source
         request = attempt.pending.request
-        took = float(event.took)
+        duration = float(event.duration)
         filled = event.note in (Note.FILLED, Note.FILLED_BY_ORIGIN)
         self.record_success(server, attempt.sent_at)
-        if event.bare:
+        if event.not_modified:
             return
         self.served_load.add(self.now, self.mean_work(request))
         if filled and source is not None:
             self.record_success(source, attempt.sent_at)
             hit_latency = (attempt.work + self.base_latency) * self.current_latency_ratio(server)
             expected = hit_latency + self.fill_latency
-            self.record_latency(source, took / expected if attempt.size_known else 1.0)
+            self.record_latency(source, duration / expected if attempt.size_known else 1.0)
             if attempt.size_known:
                 # A wait for the parent's own fill says nothing about the inbound link. A wait for the origin
                 # counts, which spares both.
-                without_wait = (took - event.waited) / max(1.0, expected - self.fill_latency)
-                link_ratio = without_wait if event.waited and event.note == Note.FILLED else took / expected
+                without_wait = (duration - event.waited) / max(1.0, expected - self.fill_latency)
+                link_ratio = (
+                    without_wait if event.waited and event.note == Note.FILLED else duration / expected
+                )
                 self.record_latency(self.inbound_link, link_ratio)
-                change = SMOOTHING_FACTOR * min(took - expected, self.fill_latency) / 10
+                change = SMOOTHING_FACTOR * min(duration - expected, self.fill_latency) / 10
                 self.fill_latency = max(self.base_latency, self.fill_latency + change)
             self.fill_load.add(self.now, attempt.work)
         if filled or event.note == Note.JOINED:
             return
         if self.has_known_size(request):
-            gap = took - attempt.work - self.base_latency
+            gap = duration - attempt.work - self.base_latency
             change = SMOOTHING_FACTOR * gap
             if gap >= 0:  # rises ten times as slowly as it falls
                 change = SMOOTHING_FACTOR * min(gap, self.base_latency) / 10
             self.base_latency = max(1.0 * MS, self.base_latency + change)
         else:
             key = (request.object, request.part)
-            self.learned_work[key] = min(took, self.learned_work.get(key, took) * 1.01)
-            mean = self.mean_work_by_class.get(request.cls, took)
-            self.mean_work_by_class[request.cls] = mean + SMOOTHING_FACTOR * (took - mean)
+            self.learned_work[key] = min(duration, self.learned_work.get(key, duration) * 1.01)
+            mean = self.mean_work_by_class.get(request.cls, duration)
+            self.mean_work_by_class[request.cls] = mean + SMOOTHING_FACTOR * (duration - mean)
             if not attempt.size_known:
                 return
             attempt.work = self.learned_work[key]
-        self.record_latency(server, took / (attempt.work + self.base_latency))
+        self.record_latency(server, duration / (attempt.work + self.base_latency))
 
     # ---- Before an attempt is written, and at the end of the program
     def recheck(self, now: int, request_id: str, attempt_number: int) -> int | None:
@@ -1033,7 +1047,7 @@
         for party, work in ((attempt.server, server_work), (attempt.source, attempt.work)):
             if party is None:
                 continue
-            if party.state != State.READY:
+            if party.state != ServerState.READY:
                 return None
             if self.slow_start_factor(party) < 1.0 and party not in attempt.slow_start_recorded:
                 if not self.within_slow_start_budget(party, work):
@@ -1066,12 +1080,12 @@
                 pending = self.pending_requests.pop(event.id, None)
                 for attempt in list(pending.open_attempts.values()) if pending else []:
                     self.cancel_attempt(attempt)
-            case api.Listing():
+            case api.MembershipUpdate():
                 self.on_listing(event)
             case api.Purged():
                 self.on_purged(event)
             case api.Probed():
                 self.on_probed(event)
-            case api.Began():
+            case api.StreamStarted():
                 self.pending_requests.pop(event.id, None)
         return self.actions
--- a/onyxpulley/server_state.py
+++ b/onyxpulley/server_state.py
@@ -6,7 +6,7 @@
 
 from onyxpulley import interface as api
 from onyxpulley.bounded_state import DecayingRate
-from onyxpulley.interface import State
+from onyxpulley.interface import ServerState
 from onyxpulley.slow_start import WorkWindow
 
 if TYPE_CHECKING:
@@ -18,14 +18,14 @@
 class Server:
     """A cache, sibling, parent or origin as this router sees it. Times are microseconds."""
 
-    def __init__(self, entry: api.Entry, role: str) -> None:
+    def __init__(self, entry: api.ServerEntry, role: str) -> None:
         self.id = entry.server
         self.zone = entry.zone
         self.role = role
         self.cell = entry.cell
         self.weight = entry.weight
-        self.state = State.GONE
-        self.started = 0  # `started` of its last list entry, which tells its processes apart
+        self.state = ServerState.GONE
+        self.start_time = 0  # as listed last; tells its processes apart
         self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request id and number of the attempt
         self.slow_start_work = WorkWindow()
         self.reset(0)
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -11,10 +11,10 @@
 from onyxpulley import fields, logs, metrics
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import now_us
-from onyxpulley.core import Attempt, Exchange, Outcome, Report
+from onyxpulley.core import Attempt, AttemptResult, Exchange, Outcome
+from onyxpulley.server_streams import PlainTransport, ServerStream, TransportSecurity
 from onyxpulley.streams import close_quietly
-from onyxpulley.system_calls import Meaning, meaning_of, next_pause
-from onyxpulley.wires import Listed, Trust, Wire
+from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
 
 if TYPE_CHECKING:
     from onyxpulley.config import Limits
@@ -48,10 +48,10 @@
         self.pool = pool
         self.sock: socket.socket | None = None
         self.lacking = False  # no connection could be made yet for want of something on this machine
-        self.wire: Wire | None = None
+        self.wire: ServerStream | None = None
         self.buffer = Buffer(16_384, LONGEST + 2 * LINE)
         self.out: dict[str, Attempt] = {}
-        self.waiting: deque[Attempt | bytes] = deque()
+        self.send_queue: deque[Attempt | bytes] = deque()
         self.up, self.closed, self.stuck = False, False, False
         self.heard = self.used = now_us()
         self.left: deque[str] = deque(maxlen=LATER)
@@ -64,30 +64,30 @@
         if (
             self.closed
             or self.stuck
-            or not self.takes()
+            or not self.accepts_requests()
             or (self.out and now - max(self.heard, self.used_first()) > silence)
         ):
             return False
-        return bool(self.out or self.waiting) or now - self.used < idle
+        return bool(self.out or self.send_queue) or now - self.used < idle
 
     def used_first(self) -> int:
-        return next(iter(self.out.values())).begun
+        return next(iter(self.out.values())).started_at
 
-    def takes(self) -> bool:
-        return self.wire is None or self.wire.takes()
+    def accepts_requests(self) -> bool:
+        return self.wire is None or self.wire.accepts_requests()
 
     def load(self) -> int:
-        return len(self.out) + len(self.waiting)
+        return len(self.out) + len(self.send_queue)
 
     def holds(self, attempt: Attempt) -> bool:
         txn = attempt.request.txn
-        waiting = any(isinstance(w, Attempt) and w.request.txn == txn for w in self.waiting)
+        waiting = any(isinstance(w, Attempt) and w.request.txn == txn for w in self.send_queue)
         return txn in self.out or txn in self.left or waiting
 
     def alone(self) -> bool:
         """Carries what must not run twice, which no other's spoilt answer shall end."""
-        return any(a.once for a in self.out.values()) or any(
-            isinstance(w, Attempt) and w.once for w in self.waiting
+        return any(a.at_most_once for a in self.out.values()) or any(
+            isinstance(w, Attempt) and w.at_most_once for w in self.send_queue
         )
 
     def give_up(self, attempt: Attempt) -> None:
@@ -95,13 +95,13 @@
         txn = attempt.request.txn
         del self.out[txn]
         self.left.append(txn)
-        silent = now_us() - max(self.heard, attempt.begun) > self.pool.servers.silence()
+        silent = now_us() - max(self.heard, attempt.started_at) > self.pool.servers.silence()
         self.stuck = self.stuck or silent
         self.push(b"abort %s\r\n" % txn.encode())
 
     def check(self) -> None:
         """Guards against an answer that stops short: nothing else will come through behind it."""
-        if self.wire is not None and self.wire.out_of_touch():
+        if self.wire is not None and self.wire.peer_may_have_left():
             return  # reads fail here; that says nothing of the server
         partial = self.buffer.end - self.buffer.start
         self.still = self.still + 1 if partial and partial == self.partial else 0
@@ -110,7 +110,7 @@
             self.close(Outcome.BROKEN)
 
     def push(self, what: Attempt | bytes) -> None:
-        self.waiting.append(what)
+        self.send_queue.append(what)
         self.used = now_us()
         self.wake.set()
 
@@ -129,12 +129,12 @@
                 return sock
             except OSError as problem:
                 metrics.count_failed_call("connect.server", problem)
-                meaning = meaning_of(problem)
-                self.lacking = meaning is Meaning.LOCAL
-                if meaning is Meaning.ENDED or (self.lacking and self.pool.lacks_a_socket(self)):
+                meaning = classify_error(problem)
+                self.lacking = meaning is ErrorKind.LOCAL
+                if meaning is ErrorKind.FATAL or (self.lacking and self.pool.lacks_a_socket(self)):
                     raise
             self._close_socket()
-            pause = next_pause(pause)
+            pause = next_retry_delay(pause)
             await asyncio.sleep(pause)
 
     def _close_socket(self) -> None:
@@ -148,14 +148,14 @@
             try:
                 async with asyncio.timeout(self.pool.limits.connect_timeout):
                     sock = await self._connect()
-                self.wire = wire = await self.pool.servers.trust.secure(self.pool.uid, sock)
+                self.wire = wire = await self.pool.servers.transport_security.secure(self.pool.uid, sock)
             except (OSError, TimeoutError):
                 why = Outcome.NOT_CONNECTED if self.lacking else Outcome.UNREACHABLE
                 return
             self.up, self.heard = True, now_us()
             self.tasks.add(asyncio.create_task(self._write(wire)))
             while True:
-                got = await wire.receive_into(self.buffer.room())
+                got = await wire.receive_into(self.buffer.free_space())
                 if not got:
                     return
                 self.heard, self.stuck = now_us(), False
@@ -163,35 +163,35 @@
                 self._parse()
         except (OSError, BufferError, ValueError) as problem:
             if not isinstance(problem, OSError):
-                logs.say(f"server {self.pool.uid}: bad answer: {problem}")
+                logs.info(f"server {self.pool.uid}: bad answer: {problem}")
         finally:
             self.close(why)
 
-    async def _write(self, wire: Wire) -> None:
+    async def _write(self, wire: ServerStream) -> None:
         try:
             while not self.closed:
                 await self.wake.wait()
                 self.wake.clear()
-                while self.waiting:
-                    await self._batch(wire)
+                while self.send_queue:
+                    await self._write_next(wire)
         except OSError:
             self.close(Outcome.BROKEN)
 
-    async def _batch(self, wire: Wire) -> None:
+    async def _write_next(self, wire: ServerStream) -> None:
         """One attempt at the most, with what is to be given up before it. What waits behind a slow write is
         checked when its own first byte can go. Apart from its task, which would hold on to requests and bytes
         while it waits."""
         given_up = list[bytes]()
-        while self.waiting and isinstance(what := self.waiting[0], bytes):
+        while self.send_queue and isinstance(what := self.send_queue[0], bytes):
             given_up.append(what)
-            self.waiting.popleft()
+            self.send_queue.popleft()
         if given_up:
             await wire.send_all(b"".join(given_up))
-        elif self.waiting:
+        elif self.send_queue:
             await self._send_attempt(wire)
 
-    async def _send_attempt(self, wire: Wire) -> None:
-        attempt = self.waiting.popleft()
+    async def _send_attempt(self, wire: ServerStream) -> None:
+        attempt = self.send_queue.popleft()
         assert isinstance(attempt, Attempt)
         data = self._encode(attempt)
         if not data:
@@ -199,46 +199,51 @@
         try:
             sent = wire.send_now(data)
         except OSError:
-            self.waiting.appendleft(attempt)  # not a byte has left: another connection may take it
+            self.send_queue.appendleft(attempt)  # not a byte has left: another connection may take it
             raise
         if not sent:
-            self.waiting.appendleft(attempt)
-            await wire.writable()
+            self.send_queue.appendleft(attempt)
+            await wire.wait_writable()
             return
         self.out[attempt.request.txn] = attempt
-        self.pool.exchange.begun(attempt)
+        self.pool.exchange.write_started(attempt)
         await wire.send_all(memoryview(data)[sent:])
         self.pool.servers.forwards += 1
 
     def _encode(self, what: Attempt) -> bytes:
         """The rules are checked once more here, at the write. Nothing where it may not be written."""
-        if not self.takes():  # who the server was shown to be no longer holds: another one is made, or none
+        if (
+            not self.accepts_requests()
+        ):  # who the server was shown to be no longer holds: another one is made, or none
             self.pool.again(what, Outcome.BROKEN)
             return b""
-        if not self.pool.exchange.clear(what):
+        if not self.pool.exchange.check_before_write(what):
             return b""
         request = what.request
-        limit = max(1, (what.until - now_us()) // 1000)
-        text = f"fetch {request.txn} cls={request.cls},item={request.item},chunk={request.part},limit={limit}"
+        limit = max(1, (what.deadline - now_us()) // 1000)
+        text = (
+            f"fetch {request.txn} cls={request.cls},item={request.object_id},"
+            f"chunk={request.part},limit={limit}"
+        )
         if what.source is not None:
             text += f",fetch={what.source}"
-        if what.rank:
-            text += f",retain={what.rank}"
-        if what.newer:
-            text += f",newer={max(1, what.newer // 1000)}"
+        if what.retention_rank:
+            text += f",retain={what.retention_rank}"
+        if what.max_age:
+            text += f",newer={max(1, what.max_age // 1000)}"
         manner = [
             word
             for word, wanted in (
-                ("wait-for", what.join),
-                ("no-fetch", what.only_held),
-                ("background", what.renew),
+                ("wait-for", what.may_join),
+                ("no-fetch", what.only_if_cached),
+                ("background", what.refresh_in_background),
             )
             if wanted
         ]
         if manner:
             text += f",handle={'+'.join(manner)}"
-        if request.have:
-            text += f",holds={request.have}"
+        if request.client_tag:
+            text += f",holds={request.client_tag}"
         if request.signature and self.pool.wants_signature:
             text += f",signature={request.signature}"
         return b"%s %d\r\n%s\r\n" % (text.encode(), len(request.body), request.body)
@@ -255,7 +260,7 @@
             after = at + 2
             if len(words) != 4 or words[1] not in OUTCOMES:
                 raise ValueError(f"no answer: {len(words)} words, {words[1:2]}")
-            size = fields.number(words[3], 0, LONGEST)
+            size = fields.parse_number(words[3], 0, LONGEST)
             if buffer.end < after + size + 2:
                 return
             body = bytes(memoryview(buffer.data)[after : after + size])
@@ -270,19 +275,19 @@
         self.used = now_us()
         if words[0] not in self.out:
             return  # given up meanwhile, a second copy, or an id that is none of ours
-        report = Report(OUTCOMES[words[1]], body=body, same=words[1] == "unchanged")
-        row = fields.read(words[2])
+        report = AttemptResult(OUTCOMES[words[1]], body=body, not_modified=words[1] == "unchanged")
+        row = fields.parse(words[2])
         report.tag = row.get("version", "")
         if not (report.tag.isalnum() or not report.tag):
             raise ValueError("bad tag of a copy")
         report.note = NOTES.get(row.get("tell", ""), 0)
         report.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
-        report.stamp = fields.number(row.get("stamp", "0"), 0, 2**53)
-        self.pool.servers.saw_copy(report.stamp)
+        report.issued_ms = fields.parse_number(row.get("stamp", "0"), 0, 2**53)
+        self.pool.servers.on_copy_timestamp(report.issued_ms)
         if "meter" in row:
             report.load = self.pool.read_load(row["meter"])
         attempt = self.out.pop(words[0])
-        self.pool.servers.answered(self.used - attempt.begun)
+        self.pool.servers.answered(self.used - attempt.started_at)
         self.pool.exchange.finish(attempt, report)
 
     def close(self, why: Outcome) -> None:
@@ -306,11 +311,11 @@
             self.wire.close()
             self.wire = None
         self._close_socket()
-        out, waiting = list(self.out.values()), list(self.waiting)
+        out, waiting = list(self.out.values()), list(self.send_queue)
         self.out.clear()
-        self.waiting.clear()
+        self.send_queue.clear()
         for attempt in out:
-            self.pool.exchange.finish(attempt, Report(why))
+            self.pool.exchange.finish(attempt, AttemptResult(why))
         for what in waiting:
             if isinstance(what, Attempt):
                 self.pool.again(what, why)
@@ -338,17 +343,17 @@
         """The least busy connection that may take it, or a new one. What must not run twice goes alone:
         whatever ends a connection ends all that is out on it."""
         now, limits = now_us(), self.limits
-        idle, silence = int(limits.idle * 0.8e6), self.servers.silence()
+        idle, silence = int(limits.idle_timeout * 0.8e6), self.servers.silence()
         fit = [
             connection
             for connection in self.connections
             if connection.fit(now, silence, idle)
-            and connection.load() < limits.streams
+            and connection.load() < limits.streams_per_connection
             and not connection.holds(attempt)
         ]
         free = [connection for connection in fit if not connection.alone()]
         best = min(free, key=ServerConnection.load, default=None)
-        if best is None or best.load() >= (1 if attempt.once else SHARED):
+        if best is None or best.load() >= (1 if attempt.at_most_once else SHARED):
             if now - self.most_at > MOST_FOR:
                 self.most = MOST_CONNECTIONS  # it took no more connections then; it may now
             lacking = bool(fit) and now - self.lacked_at < LACKING_FOR
@@ -360,7 +365,7 @@
             best = min(fit, key=ServerConnection.load, default=None)
         if best is None:  # whatever is out on a silent one would end with it, so it is not closed
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.exchange.finish, attempt, Report(Outcome.FULL))
+            loop.call_soon(self.exchange.finish, attempt, AttemptResult(Outcome.FULL))
             return
         best.push(attempt)
 
@@ -381,20 +386,20 @@
         """Its connection never came up, or ended before it was written: nothing ran."""
         if attempt.ended:
             return
-        attempt.waits += 1
+        attempt.failed_connections += 1
         others = self.others()
         if why is Outcome.NOT_CONNECTED:
             if others:
                 min(others, key=ServerConnection.load).push(attempt)
             else:
-                self.exchange.finish(attempt, Report(why))
+                self.exchange.finish(attempt, AttemptResult(why))
             return
         if why is Outcome.UNREACHABLE and others:
             self.most, self.most_at = max(1, len(self.connections)), now_us()  # it accepts no more
-        if attempt.waits < TRIES and (why is Outcome.BROKEN or others):
+        if attempt.failed_connections < TRIES and (why is Outcome.BROKEN or others):
             self.servers.send(attempt)
             return
-        self.exchange.finish(attempt, Report(Outcome.UNREACHABLE))
+        self.exchange.finish(attempt, AttemptResult(Outcome.UNREACHABLE))
 
     def close(self) -> None:
         for connection in list(self.connections):
@@ -408,8 +413,8 @@
         self.limits = limits
         self.exchange: Exchange
         self.ending = False
-        self.trust: Trust = Listed()
-        self.saw_copy: Callable[[int], None] = lambda stamp: None  # told the stamps of copies
+        self.transport_security: TransportSecurity = PlainTransport()
+        self.on_copy_timestamp: Callable[[int], None] = lambda stamp: None  # told the stamps of copies
         self.pools: dict[str, ConnectionPool] = {}
         self.retired: list[ConnectionPool] = []
         self.connections: dict[
@@ -418,7 +423,7 @@
         self.forwards = 0  # attempts written whole
         self.usual = 0.0  # us that an answer took, lately
 
-    def listed(self, uid: str, endpoint: str, state: str) -> None:
+    def update_server(self, uid: str, endpoint: str, state: str) -> None:
         """A change of the list. An address may pass to another server, so connections go by id."""
         pool = self.pools.get(uid)
         if pool is not None and (state == "Gone" or pool.endpoint != endpoint):
@@ -451,7 +456,7 @@
         pool = self.pools.get(attempt.server)
         if pool is None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.exchange.finish, attempt, Report(Outcome.UNREACHABLE))
+            loop.call_soon(self.exchange.finish, attempt, AttemptResult(Outcome.UNREACHABLE))
             return
         pool.send(attempt)
 
@@ -462,8 +467,8 @@
                 if connection.out.get(txn) is attempt:
                     connection.give_up(attempt)
                     return
-                if attempt in connection.waiting:
-                    connection.waiting.remove(attempt)
+                if attempt in connection.send_queue:
+                    connection.send_queue.remove(attempt)
                     return
 
     def sweep(self) -> None:
@@ -471,11 +476,11 @@
         now = now_us()
         for connection in list(self.connections):
             connection.check()
-            if connection.wire is not None and connection.wire.over():
+            if connection.wire is not None and connection.wire.expired():
                 connection.close(Outcome.BROKEN)
             if not connection.closed and not connection.load() and connection.up:
-                gone = connection.pool.retired or not connection.takes()
-                if gone or now - connection.used > self.limits.idle * 0.9e6:
+                gone = connection.pool.retired or not connection.accepts_requests()
+                if gone or now - connection.used > self.limits.idle_timeout * 0.9e6:
                     connection.close(Outcome.BROKEN)
         self.retired = [pool for pool in self.retired if pool.connections]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,12 +10,12 @@
 
 SEC = 1_000_000
 PAGES = api.ClassSettings(
-    "pages", 250_000, 2_500_000, 2.0, 1.0, 0.2, api.Effect.SAFE, fresh=8 * SEC, grace=20 * SEC
+    "pages", 250_000, 2_500_000, 2.0, 1.0, 0.2, api.Effect.SAFE, freshness_lifetime=8 * SEC, grace=20 * SEC
 )
 MEDIA = api.ClassSettings("media", 400_000, 5_000_000, 1.6, 2.0, 0.15, api.Effect.SAFE)
 SIGN = api.ClassSettings("sign", 600_000, 3_000_000, 0.0, 3.0, 0.0, api.Effect.UNSAFE, uncached=True)
 KEYED = api.ClassSettings(
-    "keyed", 600_000, 3_000_000, effect=api.Effect.KEYED, group="cell", repeat_window=1 * SEC, uncached=True
+    "keyed", 600_000, 3_000_000, effect=api.Effect.KEYED, dedup_by="cell", dedup_window=1 * SEC, uncached=True
 )
 BASE_SETTINGS = api.Settings(
     zone="edge-1",
@@ -25,32 +25,32 @@
     zone_routers=2,
     parent_kind="parent",
     origin_kind="origin",
-    direct=True,
-    joins=True,
+    bypass_allowed=True,
+    may_join=True,
     notes="all",
     flow_kb_per_s=1000.0,
-    probes=False,
-    cancel=True,
-    second_copies=True,
-    come_back=True,
-    max_come_back=500_000,
+    may_probe=False,
+    may_cancel=True,
+    may_hedge=True,
+    sends_retry_after=True,
+    max_retry_after=500_000,
     max_attempts=6,
     drain_grace=500_000,
-    cold_from=0.2,
-    cold_time=18 * SEC,
+    cold_initial_share=0.2,
+    warm_up_time=18 * SEC,
     cold_multiple=3.0,
     cold_window=3 * SEC,
-    purge_done=6 * SEC,
+    purge_duration=6 * SEC,
     purge_grace=500_000,
 )
 START = 100 * SEC
 
 
-def entries(caches: int = 4, parents: int = 2, origin: bool = True) -> tuple[api.Entry, ...]:
+def entries(caches: int = 4, parents: int = 2, origin: bool = True) -> tuple[api.ServerEntry, ...]:
     """The list of servers: caches c0, c1, ... in cells of two, parents p0, p1, ... and the origin o."""
-    rows = [api.Entry(f"c{i}", "edge-1", "box", cell=i // 2) for i in range(caches)]
-    rows += [api.Entry(f"p{i}", "hub", "parent") for i in range(parents)]
-    rows += [api.Entry("o", "hub", "origin")] if origin else []
+    rows = [api.ServerEntry(f"c{i}", "edge-1", "box", cell=i // 2) for i in range(caches)]
+    rows += [api.ServerEntry(f"p{i}", "hub", "parent") for i in range(parents)]
+    rows += [api.ServerEntry("o", "hub", "origin")] if origin else []
     return tuple(rows)
 
 
@@ -60,22 +60,22 @@
     def __init__(
         self,
         settings: api.Settings = BASE_SETTINGS,
-        rows: tuple[api.Entry, ...] | None = None,
+        rows: tuple[api.ServerEntry, ...] | None = None,
         now: int = START,
     ) -> None:
         self.router = Router(settings, 1)
         self.now = now
         self.request_numbers = count()
-        self.handle(api.Listing(api.ListKind.CACHED, entries() if rows is None else rows))
+        self.handle(api.MembershipUpdate(api.UpdateKind.CACHED, entries() if rows is None else rows))
 
     def handle(self, event: api.Event, after: int = 0) -> list[api.Action]:
         """Gives the router an event, `after` microseconds later; returns its actions."""
         self.now += after
         return self.router.handle(self.now, event)
 
-    def update_servers(self, *rows: api.Entry, after: int = 0) -> None:
+    def update_servers(self, *rows: api.ServerEntry, after: int = 0) -> None:
         """Announces changes of the list."""
-        self.handle(api.Listing(api.ListKind.CHANGES, rows), after)
+        self.handle(api.MembershipUpdate(api.UpdateKind.CHANGES, rows), after)
 
     def request(
         self,
@@ -92,7 +92,7 @@
     def finish(
         self,
         name: str,
-        sent: api.Fetch | api.Ask,
+        sent: api.Fetch | api.Forward,
         outcome: api.Outcome = api.Outcome.SERVED,
         note: int = 0,
         after: int = 100_000,
@@ -110,9 +110,9 @@
         return sent
 
 
-def sent_attempts(actions: list[api.Action]) -> list[api.Fetch | api.Ask]:
+def sent_attempts(actions: list[api.Action]) -> list[api.Fetch | api.Forward]:
     """The actions that send an attempt."""
-    return [a for a in actions if isinstance(a, api.Fetch | api.Ask)]
+    return [a for a in actions if isinstance(a, api.Fetch | api.Forward)]
 
 
 def single_fetch(actions: list[api.Action]) -> api.Fetch:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 def coldest_share_objects(server: str, role: str) -> list[str]:
     """Objects that a server is first for in its role, all in its admission share at its coldest."""
     router = Router(BASE_SETTINGS, 1)
-    router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
+    router.handle(START, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     names = (f"k{i}" for i in range(100_000))
     objects = (
         o for o in names if admission_hash(o, server) < 0.1 and router.ranking(role, o)[0].id == server
@@ -28,13 +28,15 @@
     return list(islice(objects, 200))
 
 
-def worst_load_ratio(settings: api.Settings, cold: api.Entry, as_source: bool, surge: bool = False) -> float:
+def worst_load_ratio(
+    settings: api.Settings, cold: api.ServerEntry, as_source: bool, surge: bool = False
+) -> float:
     """Greatest ratio, in any window, of the work sent to a cold server to the work that the rule allows."""
     hot = coldest_share_objects(cold.server, "parent" if as_source else "cache") if surge else []
-    routers = [Router(replace(settings, me=i), i) for i in range(ROUTERS)]
+    routers = [Router(replace(settings, router_index=i), i) for i in range(ROUTERS)]
     now = START
     for router in routers:
-        router.handle(now, api.Listing(api.ListKind.CACHED, entries()))
+        router.handle(now, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     sent: list[tuple[int, float]] = []
     started = 0
     for step in range(160):
@@ -42,7 +44,9 @@
         if step == 100:
             started = now
             for router in routers:
-                router.handle(now, api.Listing(api.ListKind.CHANGES, (replace(cold, started=now),)))
+                router.handle(
+                    now, api.MembershipUpdate(api.UpdateKind.CHANGES, (replace(cold, start_time=now),))
+                )
         for i, router in enumerate(routers):
             name = f"r{i}-{step}"
             obj = hot[(step + i) % len(hot)] if surge and started else f"o{step}-{i}"
@@ -56,12 +60,14 @@
                     router.handle(now, done)
     # load of one server when all are warm
     warm_load = ROUTERS * 0.2 * SEC / (INTERVAL_MS * 1000) / (2 if as_source else 4)
-    initial, slow_start_time = (0.1, 30 * SEC) if as_source else (settings.cold_from, settings.cold_time)
+    initial, warm_up_time = (
+        (0.1, 30 * SEC) if as_source else (settings.cold_initial_share, settings.warm_up_time)
+    )
     multiple = settings.parent_cold_multiple if as_source else settings.cold_multiple
     worst = 0.0
     for at, _ in sent:
         load = sum(work for t, work in sent if at - settings.cold_window < t <= at)
-        warmth = initial + (1 - initial) * (at - started) / slow_start_time
+        warmth = initial + (1 - initial) * (at - started) / warm_up_time
         worst = max(worst, load / (multiple * warmth * warm_load * settings.cold_window))
     assert sent, "the cold server must not be starved"
     return worst
@@ -69,35 +75,41 @@
 
 def test_forty_routers_together_stay_within_a_cold_caches_allowance() -> None:
     settings = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
-    assert worst_load_ratio(settings, api.Entry("c0", "edge-1", "box"), as_source=False) < 1.0
+    assert worst_load_ratio(settings, api.ServerEntry("c0", "edge-1", "box"), as_source=False) < 1.0
 
 
 def test_a_surge_on_a_cold_servers_own_objects_stays_within_its_allowance() -> None:
     """All of the objects are in its admission share, so only the budget of each router limits the work."""
     settings = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
-    assert worst_load_ratio(settings, api.Entry("c0", "edge-1", "box"), as_source=False, surge=True) < 1.0
-    assert worst_load_ratio(settings, api.Entry("p0", "hub", "parent"), as_source=True, surge=True) < 1.0
+    assert (
+        worst_load_ratio(settings, api.ServerEntry("c0", "edge-1", "box"), as_source=False, surge=True) < 1.0
+    )
+    assert (
+        worst_load_ratio(settings, api.ServerEntry("p0", "hub", "parent"), as_source=True, surge=True) < 1.0
+    )
 
 
 def test_forty_routers_together_stay_within_a_cold_parents_allowance() -> None:
     settings = replace(BASE_SETTINGS, routers=ROUTERS, zone_routers=ROUTERS)
-    assert worst_load_ratio(settings, api.Entry("p0", "hub", "parent"), as_source=True) < 1.0
+    assert worst_load_ratio(settings, api.ServerEntry("p0", "hub", "parent"), as_source=True) < 1.0
 
 
 def test_memory_stays_bounded_while_servers_are_replaced() -> None:
     """A router that runs for months sees thousands of servers come and go."""
     router = Router(BASE_SETTINGS, 1)
-    router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
+    router.handle(START, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     for i in range(3000):
-        new = api.Entry(f"n{i}", "edge-1", "box", started=START + i * SEC)
-        old = replace(new, server=f"n{i - 1}", state=api.State.GONE)
-        router.handle(START + i * SEC, api.Listing(api.ListKind.CHANGES, (new, old) if i else (new,)))
+        new = api.ServerEntry(f"n{i}", "edge-1", "box", start_time=START + i * SEC)
+        old = replace(new, server=f"n{i - 1}", state=api.ServerState.GONE)
+        router.handle(
+            START + i * SEC, api.MembershipUpdate(api.UpdateKind.CHANGES, (new, old) if i else (new,))
+        )
     assert len(router.servers) < 300
 
 
 def test_unusual_lists_lead_to_ready_servers_only() -> None:
     """Hundreds of servers, starts in the past or the future, one server of each role, or none."""
-    many = [api.Entry(f"c{i}", "edge-1", "box", started=START + (i - 200) * SEC) for i in range(400)]
+    many = [api.ServerEntry(f"c{i}", "edge-1", "box", start_time=START + (i - 200) * SEC) for i in range(400)]
     for rows in (
         (*many, *entries(0)),
         entries(1, 1),
@@ -107,7 +119,7 @@
     ):
         ready = {r.server for r in rows}
         router = Router(replace(BASE_SETTINGS, routers=0, zone_routers=0), 1)
-        router.handle(START, api.Listing(api.ListKind.FULL, rows))
+        router.handle(START, api.MembershipUpdate(api.UpdateKind.FULL, rows))
         answered = 0
         for i in range(50):
             for action in router.handle(START + i, api.Request(f"r{i}", "media", f"o{i}", SEC, 1, 50.0)):
@@ -119,7 +131,7 @@
 
 def test_nonsensical_outcomes_and_times_raise_nothing() -> None:
     router = Router(BASE_SETTINGS, 1)
-    router.handle(START, api.Listing(api.ListKind.CACHED, entries()))
+    router.handle(START, api.MembershipUpdate(api.UpdateKind.CACHED, entries()))
     (sent, *_) = router.handle(START, api.Request("r", "no such class", "o", SEC))
     assert isinstance(sent, api.Fetch)
     back = START - 10 * SEC
@@ -177,7 +189,7 @@
     rows = tuple(replace(e, weight=20.0) if e.kind == "parent" else e for e in entries(4, 8))
     parents = {}
     for routers in (4, 200):  # a fill every 0.25 s loads 0.4 transfers; with 200 routers 80
-        harness = RouterHarness(replace(BASE_SETTINGS, routers=routers, nominal_weights=True), rows)
+        harness = RouterHarness(replace(BASE_SETTINGS, routers=routers, weights_are_nominal=True), rows)
         fill_parts(harness, "hot", range(60), 150_000)
         parents[routers] = set(fill_parts(harness, "hot", range(100, 140), 150_000))
     assert len(parents[4]) == 1, "an object usually has one parent"
@@ -187,15 +199,15 @@
 def test_drains_and_changes_elsewhere_keep_the_rankings_of_thousands_of_servers() -> None:
     """Guards against ranking all servers anew at each request, which would stall a router with thousands."""
     many = entries(3_000, 4)
-    elsewhere = api.Entry("s0", "edge-2", "box")
-    harness = RouterHarness(with_settings(memo=40_000), (*many, elsewhere))
+    elsewhere = api.ServerEntry("s0", "edge-2", "box")
+    harness = RouterHarness(with_settings(max_tracked_objects=40_000), (*many, elsewhere))
     for number in range(20):
         harness.serve_hit(f"x{number}")
     rankings = dict(harness.router.rankings)
     assert rankings and all(len(row) <= 64 for row in rankings.values())
-    harness.update_servers(api.Entry("c7", "edge-1", "box", state=api.State.DRAINING))
-    harness.update_servers(api.Entry("s0", "edge-2", "box", state=api.State.GONE))
-    harness.update_servers(api.Entry("s1", "edge-2", "box"))
+    harness.update_servers(api.ServerEntry("c7", "edge-1", "box", state=api.ServerState.DRAINING))
+    harness.update_servers(api.ServerEntry("s0", "edge-2", "box", state=api.ServerState.GONE))
+    harness.update_servers(api.ServerEntry("s1", "edge-2", "box"))
     assert dict(harness.router.rankings) == rankings
-    harness.update_servers(api.Entry("c3001", "edge-1", "box"))
+    harness.update_servers(api.ServerEntry("c3001", "edge-1", "box"))
     assert not harness.router.rankings, "a new server gets its objects at once"
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -159,8 +159,10 @@
 
 def harness_with_reports(reported: float, waited: int = 0) -> RouterHarness:
     """A router whose caches, with links for four transfers, last reported so many requests each."""
-    harness = RouterHarness(with_settings(nominal_weights=True, report=("busy_reqs",), direct=False))
-    harness.update_servers(*(api.Entry(f"c{i}", "edge-1", "box", weight=4.0) for i in range(4)))
+    harness = RouterHarness(
+        with_settings(weights_are_nominal=True, load_report_fields=("busy_reqs",), bypass_allowed=False)
+    )
+    harness.update_servers(*(api.ServerEntry(f"c{i}", "edge-1", "box", weight=4.0) for i in range(4)))
     last = [objects_of(harness, f"c{i}", 1)[0] for i in range(4)]
     for number, obj in enumerate([f"w{i}" for i in range(60)] + last):
         name, actions = harness.request(obj)
@@ -207,7 +209,7 @@
         single_fetch(harness_with_reports(reported).request("n1", size_kb=300.0, time_left=4 * SEC)[1])
         for reported in (4.0, 10.0)
     ]
-    assert [s.only_held or s.source == s.server for s in sources] == [False, True]
+    assert [s.only_if_cached or s.source == s.server for s in sources] == [False, True]
 
 
 def test_requests_that_wait_for_a_slow_source_do_not_count_as_load() -> None:
@@ -231,7 +233,7 @@
 
 
 def test_with_all_caches_overloaded_late_requests_are_refused() -> None:
-    harness = RouterHarness(with_settings(direct=False))
+    harness = RouterHarness(with_settings(bypass_allowed=False))
     for server in harness.router.servers.values():
         if server.role == "cache":
             server.latency_ratio = 8.0
@@ -257,7 +259,7 @@
 
 
 def test_without_second_copies_a_late_attempt_is_cancelled_before_the_retry() -> None:
-    harness = RouterHarness(with_settings(second_copies=False))
+    harness = RouterHarness(with_settings(may_hedge=False))
     objects = objects_of(harness, "c1", 6)
     requests = [harness.request(o) for o in objects]
     timers = [a for _, actions in requests for a in actions if isinstance(a, api.SetTimer)]
@@ -280,8 +282,8 @@
 
 def test_objects_requested_again_rank_above_those_requested_once() -> None:
     harness = RouterHarness()
-    assert single_fetch(harness.request("x")[1]).rank == 1
-    assert single_fetch(harness.request("x")[1]).rank == 2
+    assert single_fetch(harness.request("x")[1]).retention_rank == 1
+    assert single_fetch(harness.request("x")[1]).retention_rank == 2
 
 
 def test_a_surge_on_one_object_is_spread_over_several_caches_until_it_ends() -> None:
@@ -327,7 +329,7 @@
     harness = RouterHarness()
     name, actions = harness.request("x", "pages")
     first = single_fetch(actions)
-    harness.update_servers(api.Entry(first.server, "edge-1", "box", state=api.State.DRAINING))
+    harness.update_servers(api.ServerEntry(first.server, "edge-1", "box", state=api.ServerState.DRAINING))
     after = harness.finish(name, first, Outcome.FULL, Note.ORIGIN_FAILED, after=1000)
     assert final_answers(after) and not sent_attempts(after)
 
@@ -371,8 +373,8 @@
     """Guards against a failure of all fills while one parent is gone and the other cold."""
     harness = RouterHarness()
     harness.update_servers(
-        api.Entry("p0", "hub", "parent", state=api.State.GONE),
-        api.Entry("p1", "hub", "parent", started=harness.now),
+        api.ServerEntry("p0", "hub", "parent", state=api.ServerState.GONE),
+        api.ServerEntry("p1", "hub", "parent", start_time=harness.now),
     )
     assert {single_fetch(harness.request(f"n{i}")[1]).source for i in range(50)} >= {"o"}
 
--- a/tests/test_identities.py
+++ b/tests/test_identities.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from onyxpulley import operator as operators
+from onyxpulley import operator_config
 from onyxpulley.config import BadConfig
 
-from .issuer import AgentStandIn, Domain, answer, response
-from .player import PATIENCE, SETTINGS, Play, free_port, read_cases
+from .issuer import Authority, FakeWorkloadApi, make_response, make_svid_response
+from .player import SETTINGS, STEP_TIMEOUT_S, ExchangePlayer, free_port, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
 CASES = read_cases(FOLDER / "identities.txt")
@@ -37,20 +37,20 @@
 FAULT = ("until", "since", "usage")
 
 
-class Guarded(Play):
+class Guarded(ExchangePlayer):
     """A play whose servers show SVIDs. More steps: `ID shows PATH [FAULT=SECONDS …] [by next|stray|between]`,
     `ID also NAME` (a second name of that address), `entries ID …` (with `- SPIFFE_ID` revoked), `agent tells
     [FAULT=SECONDS …] [of both|next] [without ID]`, `agent stops|starts|cuts|babbles`, `soon log has TEXT`."""
 
     def __init__(self, folder: Path, renew: float = 600.0) -> None:
         super().__init__(folder)
-        self.home, self.next, self.stray = Domain(), Domain(), Domain()
-        self.between = Domain(above=self.home)
-        self.agent, self.renew = AgentStandIn(), renew
+        self.home, self.next, self.stray = Authority(), Authority(), Authority()
+        self.between = Authority(parent=self.home)
+        self.agent, self.renew = FakeWorkloadApi(), renew
         self.contexts: dict[str, ssl.SSLContext] = {}
         self.more = ""
 
-    def guard(self, name: str) -> ssl.SSLContext | None:
+    def server_tls(self, name: str) -> ssl.SSLContext | None:
         if name == "b":
             return None
         context = self.contexts[name] = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -61,9 +61,9 @@
         self.show(name, f"/box/{name}", self.home, {})
         return context
 
-    def show(self, name: str, path: str, domain: Domain, faults: dict[str, Any]) -> None:
+    def show(self, name: str, path: str, domain: Authority, faults: dict[str, Any]) -> None:
         uris = [f"spiffe://letra.example{p}" for p in path.replace("~", "").split(",") if p != "-"]
-        file = domain.write(self.folder, f"{name}-box", *uris, **faults)
+        file = domain.write_svid(self.folder, f"{name}-box", *uris, **faults)
         self.contexts[name].load_cert_chain(file, file.with_suffix(".key"))
 
     def caller(self, name: str) -> ssl.SSLContext:
@@ -72,7 +72,7 @@
         who = {"h1": (self.home, "staff/ana"), "h2": (self.home, "guest"), "h3": (self.stray, "staff/ana")}
         if name in who:
             domain, path = who[name]
-            file = domain.write(self.folder, name, f"spiffe://letra.example/{path}")
+            file = domain.write_svid(self.folder, name, f"spiffe://letra.example/{path}")
             context.load_cert_chain(file, file.with_suffix(".key"))
         return context
 
@@ -85,20 +85,20 @@
     async def start(self, servers: list[str]) -> None:
         self.entries(servers)
         await self.agent.start()
-        self.agent.tell(answer(self.home))
+        self.agent.publish(make_svid_response(self.home))
         self.operator = self.more + OPERATOR.format(port=self.agent.port, renew=self.renew)
         await super().start(servers)
         await self.soon("event=reloaded source=agent svid=spiffe://letra.example/router")
         await self.soon("event=health state=good")
 
     async def soon(self, text: str) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while text not in self.log.read_text():
                 await asyncio.sleep(0.02)
 
     async def listening(self) -> None:
-        async with asyncio.timeout(PATIENCE):
-            while not self.agent.queues:
+        async with asyncio.timeout(STEP_TIMEOUT_S):
+            while not self.agent.subscribers:
                 await asyncio.sleep(0.02)
 
     async def run(self, lines: list[str]) -> None:
@@ -123,14 +123,15 @@
             await self.soon("event=reloaded source=entries")
         elif words[0] == "agent" and words[1] == "tells":
             domain = self.next if words[-1] == "next" else self.home
-            message = answer(domain, **faults)
+            message = make_svid_response(domain, **faults)
             if words[-1] == "both":
                 message.svids[0].bundle = (
-                    answer(self.home).svids[0].bundle + answer(self.next).svids[0].bundle
+                    make_svid_response(self.home).svids[0].bundle
+                    + make_svid_response(self.next).svids[0].bundle
                 )
             before = self.log.read_text().count("source=agent svid")
-            self.agent.tell(message)
-            async with asyncio.timeout(PATIENCE):
+            self.agent.publish(message)
+            async with asyncio.timeout(STEP_TIMEOUT_S):
                 while self.log.read_text().count("source=agent svid") == before:
                     await asyncio.sleep(0.02)
         elif words[0] == "agent":
@@ -138,19 +139,19 @@
                 case "stops":
                     await self.agent.stop()
                 case "starts":
-                    self.agent.now = answer(self.home)
+                    self.agent.latest = make_svid_response(self.home)
                     await self.agent.start()
                 case "cuts":
-                    self.agent.cut()
-                case "babbles" | "empties" if not self.agent.queues:
+                    self.agent.break_streams()
+                case "babbles" | "empties" if not self.agent.subscribers:
                     await self.listening()
                     await self.step(line)
                 case "babbles":
-                    self.agent.tell(answer(self.home).SerializeToString()[:-40])
-                    self.agent.now = answer(self.home)
+                    self.agent.publish(make_svid_response(self.home).SerializeToString()[:-40])
+                    self.agent.latest = make_svid_response(self.home)
                 case "empties":
-                    self.agent.tell(response([], b""))
-                    self.agent.now = answer(self.home)
+                    self.agent.publish(make_response([], b""))
+                    self.agent.latest = make_svid_response(self.home)
         elif len(words) > 1 and words[1] == "shows":
             by = getattr(self, words[-1]) if words[-2] == "by" else self.home
             self.show(words[0], words[2], by, faults)
@@ -254,8 +255,8 @@
 
     async def step(self: Guarded, line: str) -> None:
         if line == "keep k1":
-            found = self.parties["k1"].got.decode()
-            self.parties["k1"].got = b""
+            found = self.parties["k1"].received.decode()
+            self.parties["k1"].received = b""
             assert "app.handshakes_full:1|c" in found and "app.handshakes_resumed:2|c" in found, found
             assert "app.peers_refused.other_identity:0|c" in found
             return
@@ -273,13 +274,13 @@
 def test_the_agent_gets_the_header_that_it_must_insist_on(tmp_path: Path) -> None:
     rig = Guarded(tmp_path)
     asyncio.run(rig.run(["servers c0 p0 o", "wait 0.1"]))
-    assert ("workload.spiffe.io", "true") in rig.agent.headers and rig.agent.calls == 1
+    assert ("workload.spiffe.io", "true") in rig.agent.headers and rig.agent.call_count == 1
 
 
 def test_callers_of_the_signed_front_show_who_they_are(tmp_path: Path) -> None:
     """h1 is of the staff; h2 is not let in, h3 is signed by somebody else, h4 shows nothing at all."""
     rig = Guarded(tmp_path)
-    rig.tls, rig.more = rig.caller, '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
+    rig.client_tls, rig.more = rig.caller, '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
     lines = [
         "servers c0 p0 o",
         "h1 > GET /health",
@@ -304,7 +305,7 @@
 
     async def load() -> None:
         for name in ("c0", "c1x", "p0", "o"):
-            rig.parties[name].auto = True
+            rig.parties[name].answers_by_itself = True
         client = await rig.party("c1")
         for no in range(1, 401):
             row = f"txn={no:016x},limit=4000,item={no % 40:016x},part=0,group=1,ram=4"
@@ -314,11 +315,11 @@
                     rig.show(name, f"/box/{name}", rig.home, {})
                 await rig.step("agent tells of both" if no % 160 else "agent tells")
             await asyncio.sleep(0.005)
-        async with asyncio.timeout(PATIENCE):
-            while client.got.count(b"\r\ngood\r\n") < 400:
+        async with asyncio.timeout(STEP_TIMEOUT_S):
+            while client.received.count(b"\r\ngood\r\n") < 400:
                 await asyncio.sleep(0.02)
-        answers.append(client.got)
-        client.got = b""
+        answers.append(client.received)
+        client.received = b""
 
     async def play() -> None:
         plain = rig.step
@@ -381,5 +382,5 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(BadConfig) as problem:
-        operators.load(path)
+        operator_config.load(path)
     assert said in str(problem.value) and "\n" not in str(problem.value)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from onyxpulley import interface as api
-from onyxpulley.interface import Note, Outcome, State
+from onyxpulley.interface import Note, Outcome, ServerState
 from onyxpulley.router import Router
 
 from .helpers import (
@@ -24,9 +24,9 @@
 
 SETTINGS = [
     BASE_SETTINGS,
-    with_settings(second_copies=False, notes="hit", flow_kb_per_s=0.0, probes=True),
-    with_settings(direct=False, joins=False, come_back=False, subscribe=True),
-    with_settings(parent_kind=None, cancel=False, max_attempts=1, nominal_weights=True),
+    with_settings(may_hedge=False, notes="hit", flow_kb_per_s=0.0, may_probe=True),
+    with_settings(bypass_allowed=False, may_join=False, sends_retry_after=False, subscribe=True),
+    with_settings(parent_kind=None, may_cancel=False, max_attempts=1, weights_are_nominal=True),
 ]
 STEPS = st.tuples(st.integers(0, 7), st.integers(0, 40), st.integers(0, 10), st.integers(0, 1_500_000))
 OUTCOMES = list(Outcome)
@@ -36,7 +36,7 @@
 class RuleChecker:
     """Gives a router legal events and checks its actions against the rules."""
 
-    def __init__(self, base: api.Settings, rows: tuple[api.Entry, ...]) -> None:
+    def __init__(self, base: api.Settings, rows: tuple[api.ServerEntry, ...]) -> None:
         self.settings = base
         self.rows = rows
         self.now = START
@@ -45,12 +45,12 @@
         self.states = {r.server: r.state for r in rows}
         self.unanswered: dict[str, api.Request] = {}
         self.answered: set[str] = set()
-        self.in_flight: dict[tuple[str, int], api.Fetch | api.Ask] = {}
+        self.in_flight: dict[tuple[str, int], api.Fetch | api.Forward] = {}
         self.attempts_made: dict[str, int] = {}  # by request
         self.may_have_run_on: dict[str, set[str]] = {}  # servers by request
         self.purged_at = -1
         self.timer_tokens: list[int] = []
-        self.handle(api.Listing(api.ListKind.CACHED, rows))
+        self.handle(api.MembershipUpdate(api.UpdateKind.CACHED, rows))
 
     def handle(self, event: api.Event) -> None:
         """Gives the router an event and checks every action that follows."""
@@ -64,16 +64,16 @@
     def check(self, action: api.Action) -> None:
         """Checks an action against the rules and records it."""
         match action:
-            case api.Fetch() | api.Ask():
+            case api.Fetch() | api.Forward():
                 assert action.id in self.unanswered, "nothing is sent after the final answer"
-                assert self.states[action.server] == State.READY
+                assert self.states[action.server] == ServerState.READY
                 if isinstance(action, api.Fetch):
-                    assert self.states[action.source] == State.READY or action.source == action.server
-                    if self.purged_at >= 0 and self.now - self.purged_at <= self.settings.purge_done:
+                    assert self.states[action.source] == ServerState.READY or action.source == action.server
+                    if self.purged_at >= 0 and self.now - self.purged_at <= self.settings.purge_duration:
                         assert 0 < action.max_age <= max(1, self.now - self.purged_at)
                 number = self.attempts_made.get(action.id, 0)
                 assert number < self.settings.max_attempts
-                if not self.settings.second_copies:
+                if not self.settings.may_hedge:
                     assert not [k for k in self.in_flight if k[0] == action.id]
                 if self.effect_of(action.id) is api.Effect.UNSAFE:
                     assert not self.may_have_run_on.get(action.id)
@@ -90,9 +90,9 @@
             case api.SetTimer():
                 self.timer_tokens.append(action.token)
             case api.Probe():
-                assert self.settings.probes
+                assert self.settings.may_probe
             case api.Cancel():
-                assert self.settings.cancel
+                assert self.settings.may_cancel
 
     def step(self, kind: int, pick: int, variant: int, wait: int) -> None:
         """Plays one legal event of the kind, `wait` microseconds after the last one."""
@@ -126,13 +126,13 @@
         elif kind == 5 and self.timer_tokens:
             self.handle(api.TimerDue(self.timer_tokens.pop(pick % len(self.timer_tokens))))
         elif kind == 6:
-            row = self.rows[pick % len(self.rows)] if self.rows else api.Entry("new", "edge-1", "box")
-            state = State(variant % 3)
+            row = self.rows[pick % len(self.rows)] if self.rows else api.ServerEntry("new", "edge-1", "box")
+            state = ServerState(variant % 3)
             self.states[row.server] = state
-            entry = api.Entry(
+            entry = api.ServerEntry(
                 row.server, row.zone, row.kind, row.cell, state, row.weight, self.now if variant > 5 else 0
             )
-            self.handle(api.Listing(api.ListKind.CHANGES, (entry,)))
+            self.handle(api.MembershipUpdate(api.UpdateKind.CHANGES, (entry,)))
         elif kind == 7:
             self.purged_at = max(self.purged_at, self.now - wait)
             self.handle(api.Purged(1, wait))
@@ -204,7 +204,7 @@
 
 
 def test_a_keyed_request_is_repeated_in_its_cell_and_window_only() -> None:
-    harness = RouterHarness(with_settings(direct=False))
+    harness = RouterHarness(with_settings(bypass_allowed=False))
     name, actions = harness.request(cls=KEYED.name)
     sent = single_fetch(actions)
     cell = int(sent.server[1]) // 2
@@ -217,8 +217,8 @@
 def test_a_draining_server_is_no_longer_used_as_server_or_source() -> None:
     harness = RouterHarness()
     first = harness.serve_hit("x")
-    harness.update_servers(api.Entry(first.server, "edge-1", "box", state=State.DRAINING))
-    harness.update_servers(api.Entry(first.source, "hub", "parent", state=State.DRAINING))
+    harness.update_servers(api.ServerEntry(first.server, "edge-1", "box", state=ServerState.DRAINING))
+    harness.update_servers(api.ServerEntry(first.source, "hub", "parent", state=ServerState.DRAINING))
     moved = single_fetch(harness.request("x")[1])
     assert moved.server != first.server and moved.source != first.source
 
@@ -226,7 +226,9 @@
 def test_a_full_list_without_a_server_removes_it() -> None:
     harness = RouterHarness()
     first = harness.serve_hit("x")
-    harness.handle(api.Listing(api.ListKind.FULL, tuple(e for e in entries() if e.server != first.server)))
+    harness.handle(
+        api.MembershipUpdate(api.UpdateKind.FULL, tuple(e for e in entries() if e.server != first.server))
+    )
     assert single_fetch(harness.request("x")[1]).server != first.server
 
 
@@ -251,7 +253,7 @@
     harness = RouterHarness()
     for i in range(200):
         harness.serve_hit(f"o{i}")
-    cold = api.Entry("c0", "edge-1", "box", started=harness.now)
+    cold = api.ServerEntry("c0", "edge-1", "box", start_time=harness.now)
     harness.update_servers(cold)
     servers = [single_fetch(harness.request(f"n{i}")[1]).server for i in range(400)]
     assert 0 < servers.count("c0") < 0.4 * 400 / 4
@@ -261,7 +263,7 @@
     harness = RouterHarness()
     for i in range(100):
         harness.serve_hit(f"o{i}")
-    harness.update_servers(api.Entry("p0", "hub", "parent", started=harness.now))
+    harness.update_servers(api.ServerEntry("p0", "hub", "parent", start_time=harness.now))
     sources = [single_fetch(harness.request(f"n{i}")[1]).source for i in range(400)]
     assert sources.count("p0") < 0.3 * 400 / 2
 
@@ -284,7 +286,7 @@
     for i in range(50):
         name, actions = harness.request(f"o{i}", size_kb=400.0)
         harness.finish(name, single_fetch(actions), note=Note.HIT, after=400_000)
-    harness.update_servers(api.Entry("c0", "edge-1", "box", started=harness.now))
+    harness.update_servers(api.ServerEntry("c0", "edge-1", "box", start_time=harness.now))
     sent = [single_fetch(harness.request(f"n{i}", size_kb=1.0)[1]).server for i in range(60)].count("c0")
     assert sent and harness.router.servers["c0"].slow_start_work.total > sent * 150_000
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -29,10 +29,10 @@
     return count + 2 * math.sqrt(count) + 2
 
 
-def rows(cold: str, state: api.State = api.State.READY) -> tuple[api.Entry, ...]:
+def rows(cold: str, state: api.ServerState = api.ServerState.READY) -> tuple[api.ServerEntry, ...]:
     """The usual servers with their weights; `cold` started at START."""
     return tuple(
-        api.Entry(e.server, e.zone, e.kind, e.cell, state, WEIGHT, START if e.server == cold else 0)
+        api.ServerEntry(e.server, e.zone, e.kind, e.cell, state, WEIGHT, START if e.server == cold else 0)
         for e in entries(4, 2)
     )
 
@@ -42,9 +42,9 @@
     settings = with_settings(
         routers=count,
         zone_routers=count,
-        nominal_weights=True,
-        parent_cold_from=PARENT_COLD_FROM,
-        parent_cold_time=PARENT_COLD_TIME,
+        weights_are_nominal=True,
+        parent_cold_initial_share=PARENT_COLD_FROM,
+        parent_warm_up_time=PARENT_COLD_TIME,
     )
     return RouterHarness(settings, rows(cold), at)
 
@@ -81,8 +81,8 @@
     multiple = (
         BASE_SETTINGS.cold_multiple if cold == "c0" else harnesses[0].router.settings.parent_cold_multiple
     )
-    initial, slow_start_time = (
-        (BASE_SETTINGS.cold_from, BASE_SETTINGS.cold_time)
+    initial, warm_up_time = (
+        (BASE_SETTINGS.cold_initial_share, BASE_SETTINGS.warm_up_time)
         if cold == "c0"
         else (PARENT_COLD_FROM, PARENT_COLD_TIME)
     )
@@ -100,7 +100,7 @@
                 window.extend([at] * reached)
         while window and window[0] < at - BASE_SETTINGS.cold_window:
             window.popleft()
-        warmth = initial + (1 - initial) * min(1.0, (at - START) / slow_start_time)
+        warmth = initial + (1 - initial) * min(1.0, (at - START) / warm_up_time)
         assert len(window) <= allowed(warmth, multiple), (
             f"{(at - START) / SEC:.2f} s after the start of the server"
         )
