--- a/onyxpulley/clock.py
+++ b/onyxpulley/clock.py
@@ -1,7 +1,8 @@
 """The clocks of the program; nothing else asks the system for the time.
 
-Spans are measured on the monotonic clock. Dates are counted from one look at the wall clock at the start, so
-a step of that clock moves nothing. What the platform's own stamps prove of its time is in `PlatformClock`.
+Intervals are measured on the monotonic clock. Dates are derived from it and one reading of the wall clock at
+the start, so a step of the wall clock changes neither. `PlatformClock` bounds the platform's time by the
+timestamps that the platform sends.
 """
 
 from __future__ import annotations
@@ -9,75 +10,76 @@
 import time
 from collections.abc import Callable
 
-SECOND = 1_000_000  # us
-PLAUSIBLE = 7200 * SECOND  # by which a stamp may be ahead of this machine's clock
-STEADY = 60 * SECOND  # by which it may be ahead of what earlier stamps have shown
+SECOND_US = 1_000_000
+MAX_LEAD_US = 7200 * SECOND_US  # by which a timestamp may be ahead of this machine's clock
+MAX_ADVANCE_US = 60 * SECOND_US  # by which it may be ahead of what earlier timestamps have shown
 
 
 def now_us() -> int:
-    """Monotonic microseconds: the clock of all spans."""
+    """Monotonic microseconds, for all intervals."""
     return time.monotonic_ns() // 1000
 
 
-_START = time.time_ns() // 1000 - now_us()
+_UNIX_OFFSET_US = time.time_ns() // 1000 - now_us()
 
 
 def monotonic() -> float:
-    """The clock of all spans, in seconds."""
+    """Monotonic seconds, for all intervals."""
     return time.monotonic()
 
 
 def unix_us() -> int:
-    """Unix microseconds by the wall clock of the start and the time that has passed since."""
-    return _START + now_us()
+    """Unix microseconds: the wall clock at the start plus the time elapsed since."""
+    return _UNIX_OFFSET_US + now_us()
 
 
 def unix_seconds() -> float:
-    """The same in seconds."""
-    return unix_us() / SECOND
+    """Unix seconds, as `unix_us`."""
+    return unix_us() / SECOND_US
 
 
 class PlatformClock:
-    """The platform's time as its stamps prove it: at least as late as any stamp that has arrived.
+    """Bounds the platform's time, which is at least as late as any of its timestamps that has arrived.
 
-    Ages come with a bound on the safe side. `min_age_us` rests on the stamps of discovery alone: a server
-    that started counts as no older than is sure. `max_age_us` also takes this machine's clock and the stamps
-    of copies: a copy counts as no younger than it may be.
+    Ages are bounded on the safe side. `min_age_us` relies on the timestamps of discovery alone, so a server
+    that started counts as no older than is certain. `max_age_us` also uses this machine's clock and the
+    timestamps of copies, so a copy counts as no younger than it may be.
     """
 
     def __init__(self, clock: Callable[[], int] = now_us, own_offset: int | None = None) -> None:
-        """`own_offset`: by how much this machine's Unix time is ahead of `clock`, in microseconds."""
+        """`own_offset`: microseconds by which this machine's Unix time is ahead of `clock`."""
         self.clock = clock
-        self.own_offset = _START if own_offset is None else own_offset
-        self.proved: int | None = None  # the same of the platform's time, by discovery
-        self.latest = self.own_offset  # by anything that speaks of the time
+        self.own_offset = _UNIX_OFFSET_US if own_offset is None else own_offset
+        self.proven_offset: int | None = None  # of the platform's time, by the timestamps of discovery
+        self.latest_offset = self.own_offset  # of the latest time by any source
 
     def observe_initial(self, unix_ms: int) -> None:
-        """A stamp of what is known at the start."""
-        self._prove(unix_ms, self.own_offset + PLAUSIBLE)
+        """Takes a timestamp from the events in the configuration file."""
+        self._observe_discovery(unix_ms, self.own_offset + MAX_LEAD_US)
 
     def observe_event(self, unix_ms: int) -> None:
-        """A stamp of discovery. One that is far ahead of all others proves nothing."""
-        known = self.latest if self.proved is None else max(self.proved, self.own_offset)
-        self._prove(unix_ms, known + STEADY)
+        """Takes a timestamp from discovery. One far ahead of all others is ignored."""
+        known = self.latest_offset if self.proven_offset is None else max(self.proven_offset, self.own_offset)
+        self._observe_discovery(unix_ms, known + MAX_ADVANCE_US)
 
     def observe_copy(self, unix_ms: int) -> None:
-        """The stamp that the origin gave a copy."""
+        """Takes the timestamp at which the origin issued a copy. One far ahead of this machine is ignored."""
         offset = unix_ms * 1000 - self.clock()
-        if offset <= self.own_offset + PLAUSIBLE:
-            self.latest = max(self.latest, offset)
+        if offset <= self.own_offset + MAX_LEAD_US:
+            self.latest_offset = max(self.latest_offset, offset)
 
-    def _prove(self, unix_ms: int, most: int) -> None:
+    def _observe_discovery(self, unix_ms: int, max_offset: int) -> None:
         offset = unix_ms * 1000 - self.clock()
-        if offset <= most:
-            self.proved = offset if self.proved is None else max(self.proved, offset)
-            self.latest = max(self.latest, offset)
+        if offset <= max_offset:
+            self.proven_offset = offset if self.proven_offset is None else max(self.proven_offset, offset)
+            self.latest_offset = max(self.latest_offset, offset)
 
     def min_age_us(self, unix_ms: int) -> int:
-        """0 where no stamp proves more."""
-        if self.proved is None:
+        """The least age of something that happened at `unix_ms`; 0 if no timestamp proves more."""
+        if self.proven_offset is None:
             return 0
-        return max(0, self.proved + self.clock() - unix_ms * 1000)
+        return max(0, self.proven_offset + self.clock() - unix_ms * 1000)
 
     def max_age_us(self, unix_ms: int) -> int:
-        return self.latest + self.clock() - unix_ms * 1000
+        """The greatest age that something of `unix_ms` may have."""
+        return self.latest_offset + self.clock() - unix_ms * 1000
--- a/onyxpulley/logs.py
+++ b/onyxpulley/logs.py
@@ -1,7 +1,8 @@
-"""The log on standard error. Writing a line never raises, so it never ends the work that wants to speak.
+"""The log on standard error. Writing a line never raises, so logging never ends the work that logs.
 
-Plain lines are for people (`info`); events carry fields (`event`): `time=… part=… event=… name=value`. Of one
-kind of event only so many are written in a second; the rest is counted and told in its next line.
+Plain lines are for people (`info`); structured lines carry fields (`event`): `time=… part=… event=…
+name=value`. The rate of each kind of event is limited; the number of suppressed lines is in the next one, as
+`passed_over`.
 """
 
 from __future__ import annotations
@@ -16,18 +17,20 @@
 from onyxpulley.clock import monotonic, unix_seconds
 
 STANDARD_ERROR = 2
-LONGEST = 300  # characters of a value: peers choose some of them
-LINES_A_SECOND = 10  # of one event
+MAX_VALUE_CHARS = 300  # peers choose some of the values
+MAX_LINES_PER_SECOND = 10  # of each kind of event
 LOGGER = "onyxpulley"
 
 
 class EventLogger(Protocol):
+    """Writes structured lines of one part of the program."""
+
     def __call__(self, event: str, **fields: object) -> None: ...
 
 
 class LineHandler(logging.Handler):
-    """Writes whole lines to a descriptor. A line that cannot be written is counted, and the count is told as
-    soon as a line can be written again."""
+    """Writes whole lines to a descriptor. Lines that cannot be written are counted, and their number is
+    logged as soon as a line can be written again."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
@@ -35,6 +38,7 @@
         self.lost = 0
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Writes one line, or counts it as lost."""
         lost = self.lost
         text = self.format(record)
         if lost:
@@ -53,25 +57,25 @@
 
 
 class RateLimit:
-    """At most so many in a second of each kind; counts the others."""
+    """Admits at most `limit` lines of each kind in a second and counts the others."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.window: dict[str, tuple[float, int]] = {}  # since when, and how many came since
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.windows: dict[str, tuple[float, int]] = {}  # by kind: start of its second, and lines since
 
     def admit(self, kind: str, now: float) -> int | None:
-        """How many of this kind were passed over in the second before, or None for one too many."""
-        since, count = self.window.get(kind, (now - 1.0, 0))
-        passed_over = 0
-        if now - since >= 1.0:
-            since, passed_over, count = now, max(0, count - self.most), 0
-        self.window[kind] = since, count + 1
-        return passed_over if count < self.most else None
-
-
-def _shown(value: object) -> str:
-    """A value on one line, quoted where it would not stand as one word."""
-    text = "".join(c if c.isprintable() else "?" for c in str(value)[:LONGEST])
+        """The number of lines of this kind suppressed in the second before, or None to suppress this one."""
+        start, count = self.windows.get(kind, (now - 1.0, 0))
+        suppressed = 0
+        if now - start >= 1.0:
+            start, suppressed, count = now, max(0, count - self.limit), 0
+        self.windows[kind] = start, count + 1
+        return suppressed if count < self.limit else None
+
+
+def _format_value(value: object) -> str:
+    """A value on one line, quoted where it would not read as one word."""
+    text = "".join(c if c.isprintable() else "?" for c in str(value)[:MAX_VALUE_CHARS])
     if not text or any(c in ' ="' for c in text):
         escaped = text.replace("\\", "\\\\").replace('"', '\\"')
         return f'"{escaped}"'
@@ -88,26 +92,26 @@
 
 
 _logger = _make_logger()
-_limit = RateLimit(LINES_A_SECOND)
+_rate_limit = RateLimit(MAX_LINES_PER_SECOND)
 
 
 def info(text: str) -> None:
-    """One plain line."""
+    """Writes one plain line."""
     _logger.info("%s", text)
 
 
 def event(part: str, name: str, **fields: object) -> None:
-    """One line of fields. Rates are limited for each part and event."""
-    passed_over = _limit.admit(f"{part}.{name}", monotonic())
-    if passed_over is None:
+    """Writes one structured line. The rate is limited for each part and event."""
+    suppressed = _rate_limit.admit(f"{part}.{name}", monotonic())
+    if suppressed is None:
         return
-    if passed_over:
-        fields["passed_over"] = passed_over
-    at = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(unix_seconds()))
-    row = {"time": f"{at}Z", "part": part, "event": name, **fields}
-    _logger.info("%s", " ".join(f"{key}={_shown(value)}" for key, value in row.items()))
+    if suppressed:
+        fields["passed_over"] = suppressed
+    timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(unix_seconds()))
+    row = {"time": f"{timestamp}Z", "part": part, "event": name, **fields}
+    _logger.info("%s", " ".join(f"{key}={_format_value(value)}" for key, value in row.items()))
 
 
 def event_logger(part: str) -> EventLogger:
-    """The events of one part of the program."""
+    """A function that writes the structured lines of one part of the program."""
     return partial(event, part)
--- a/onyxpulley/metrics.py
+++ b/onyxpulley/metrics.py
@@ -1,6 +1,6 @@
-"""Counters of the process: what failed, and why something was closed, retried or refused.
+"""Counters of the process: failed calls, and why something was closed, retried or refused.
 
-They count up from the start and are shown at the second address by `COUNTERS`.
+They count from the start of the process and are shown at the second address by `COUNTERS`.
 """
 
 from __future__ import annotations
@@ -12,18 +12,20 @@
 
 
 def count(name: str, by: int = 1) -> None:
+    """Adds `by` to the counter `name`."""
     _counts[name] += by
 
 
 def error_name(problem: OSError) -> str:
-    """The name of its errno, such as ENOBUFS."""
+    """The name of its errno, such as ENOBUFS, or else of its type."""
     return errno.errorcode.get(problem.errno or 0, type(problem).__name__)
 
 
 def count_failed_call(call: str, problem: OSError) -> None:
-    """One system call that failed and was dealt with where it was made."""
+    """Counts a failed system call that was handled where it was made."""
     count(f"call_failed.{call}.{error_name(problem)}")
 
 
 def counters() -> list[tuple[str, int]]:
+    """All counters, sorted by name."""
     return sorted(_counts.items())
--- a/onyxpulley/server_streams.py
+++ b/onyxpulley/server_streams.py
@@ -1,4 +1,4 @@
-"""Connections to servers, plain or verified, and who decides whether a server may be spoken to."""
+"""Streams to servers, plain or authenticated, and the interface for authenticating servers."""
 
 from __future__ import annotations
 
@@ -9,38 +9,42 @@
 
 
 class ServerStream(Stream, Protocol):
-    """A connection to a server."""
+    """A stream to a server."""
 
     def accepts_requests(self) -> bool:
-        """May new work go on it? Asked again at each write."""
+        """Whether new requests may be sent. Checked again before each write."""
         ...
 
     def expired(self) -> bool:
-        """Has what still runs on it had its time?"""
+        """Whether the requests still running on it have had their time, so that it is to be closed."""
         ...
 
 
 class TransportSecurity(Protocol):
-    """Whether servers are who the list says they are."""
+    """Authenticates servers on new connections."""
 
     async def secure(self, uid: str, sock: socket.socket) -> ServerStream:
-        """Before the first byte of a request. Raises OSError or TimeoutError where the peer is not shown to
-        be that server: nothing was sent, so it counts as one that cannot be reached."""
+        """Returns a stream on the connected socket before any byte of a request is sent. Raises OSError or
+        TimeoutError if the peer does not prove that it is the server `uid`, which then counts as
+        unreachable."""
         ...
 
 
 class PlainServerStream(SocketStream):
-    """A connection to a server that is believed to be the one of the list."""
+    """A stream to a server whose identity is not checked."""
 
     def accepts_requests(self) -> bool:
+        """Always true."""
         return True
 
     def expired(self) -> bool:
+        """Always false."""
         return False
 
 
 class PlainTransport:
-    """Trusts the list, as the platform does."""
+    """Plain connections: like the platform, trusts that the listed address is that of the server."""
 
     async def secure(self, uid: str, sock: socket.socket) -> ServerStream:
+        """Returns a plain stream."""
         return PlainServerStream(sock, "server")
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -1,4 +1,4 @@
-"""Connections to caches, parents and the origin: the line protocol, many requests on each connection."""
+"""Connection pools to caches, parents and the origin: a line protocol, many requests on one connection."""
 
 from __future__ import annotations
 
@@ -27,115 +27,133 @@
     "failed": Outcome.FAILED,
     "moot": Outcome.MOOT,
 }
-TELLS = "local pulled pulled_far rode expired turned_away cut_off not_there no_place far_fault"
-NOTES = {word: no for no, word in enumerate(TELLS.split(" "), 1)}
-LONGEST = 240_000  # bytes of an object
-LINE = 2_048
-MOST_CONNECTIONS = 16  # connections to one server, where the descriptors allow
-SHARED = 3  # requests on a connection before another one is opened: all of them end with it
-SHORT = 3  # sweeps in which an answer that has begun does not go on: it never will
-LATER = 64  # requests given up on a connection that it remembers: their answers may still come
-MOST_FOR = 5_000_000  # us for which a server that took no more connections is believed
-USUAL = 0.1  # weight of one answer in the running mean of the time that they take
-TRIES = 2  # connections that an attempt may wait for in vain
-LACKING_FOR = 50_000  # us for which no further connection is begun beside those that are up
+TELL_VALUES = "local pulled pulled_far rode expired turned_away cut_off not_there no_place far_fault"
+NOTE_NUMBERS = {value: number for number, value in enumerate(TELL_VALUES.split(" "), 1)}
+MAX_OBJECT_BYTES = 240_000
+MAX_LINE_BYTES = 2_048
+MAX_CONNECTIONS = 16  # connections to one server, where the descriptors allow
+SHARED_REQUESTS = 3  # requests on a connection before another one is opened: all of them end with it
+MAX_STALLED_SWEEPS = 3  # an incomplete answer that does not grow during these sweeps never completes
+MAX_ABORTED_IDS = 64  # aborted requests that a connection remembers: their answers may still arrive
+CONNECTION_CAP_US = 5_000_000  # how long the connection limit learned from a server's refusal holds
+ANSWER_TIME_SMOOTHING = 0.1  # smoothing factor of the mean answer time
+MAX_CONNECTION_TRIES = 2  # connections on which an attempt may wait without being written
+LOCAL_FAILURE_PAUSE_US = 50_000  # after a local failure: no new connection while others are usable
 
 
 class ServerConnection:
-    """One connection to a server. Holds what is out on it and what waits to be written."""
+    """One connection to a server, with its send queue and the attempts that await an answer on it."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.sock: socket.socket | None = None
-        self.lacking = False  # no connection could be made yet for want of something on this machine
-        self.wire: ServerStream | None = None
-        self.buffer = Buffer(16_384, LONGEST + 2 * LINE)
-        self.out: dict[str, Attempt] = {}
-        self.send_queue: deque[Attempt | bytes] = deque()
-        self.up, self.closed, self.stuck = False, False, False
-        self.heard = self.used = now_us()
-        self.left: deque[str] = deque(maxlen=LATER)
-        self.partial, self.still = 0, 0  # bytes of an answer that is not whole; sweeps without more of it
-        self.wake = asyncio.Event()
+        self.failed_locally = False  # connecting last failed for lack of resources on this machine
+        self.stream: ServerStream | None = None
+        self.buffer = Buffer(16_384, MAX_OBJECT_BYTES + 2 * MAX_LINE_BYTES)
+        self.in_flight: dict[str, Attempt] = {}  # by request id
+        self.send_queue: deque[Attempt | bytes] = deque()  # attempts to write, and encoded abort lines
+        self.connected = False
+        self.closed = False
+        self.unresponsive = False
+        self.last_received_us = self.last_used_us = now_us()
+        self.aborted_ids: deque[str] = deque(maxlen=MAX_ABORTED_IDS)
+        self.incomplete_bytes = 0  # bytes of an incomplete answer in the buffer at the last sweep
+        self.stalled_sweeps = 0  # sweeps since that number last changed
+        self.send_requested = asyncio.Event()
         self.tasks = {asyncio.create_task(self._run())}
 
-    def fit(self, now: int, silence: int, idle: int) -> bool:
-        """May it take new work? Not while what is out there goes unanswered, nor when it may idle out."""
+    def can_take_requests(self, now: int, silence_timeout_us: int, idle_timeout_us: int) -> bool:
+        """Whether new requests may be queued here. False while outstanding requests go unanswered for
+        `silence_timeout_us`, and when the server may be about to close it as idle."""
         if (
             self.closed
-            or self.stuck
+            or self.unresponsive
             or not self.accepts_requests()
-            or (self.out and now - max(self.heard, self.used_first()) > silence)
+            or (
+                self.in_flight
+                and now - max(self.last_received_us, self.oldest_start_us()) > silence_timeout_us
+            )
         ):
             return False
-        return bool(self.out or self.send_queue) or now - self.used < idle
+        return bool(self.in_flight or self.send_queue) or now - self.last_used_us < idle_timeout_us
 
-    def used_first(self) -> int:
-        return next(iter(self.out.values())).begun
+    def oldest_start_us(self) -> int:
+        """When the oldest attempt in flight was started. There must be one."""
+        return next(iter(self.in_flight.values())).begun
 
     def accepts_requests(self) -> bool:
-        return self.wire is None or self.wire.accepts_requests()
+        """False once the identity that the server proved is no longer trusted."""
+        return self.stream is None or self.stream.accepts_requests()
 
     def load(self) -> int:
-        return len(self.out) + len(self.send_queue)
+        """Number of requests in flight or queued."""
+        return len(self.in_flight) + len(self.send_queue)
 
-    def holds(self, attempt: Attempt) -> bool:
+    def knows_request(self, attempt: Attempt) -> bool:
+        """Whether the request of `attempt` is in flight, queued or was aborted here, so that an answer to
+        its id would be ambiguous."""
         txn = attempt.request.txn
-        waiting = any(isinstance(w, Attempt) and w.request.txn == txn for w in self.send_queue)
-        return txn in self.out or txn in self.left or waiting
-
-    def alone(self) -> bool:
-        """Carries what must not run twice, which no other's spoilt answer shall end."""
-        return any(a.once for a in self.out.values()) or any(
-            isinstance(w, Attempt) and w.once for w in self.send_queue
+        queued = any(isinstance(entry, Attempt) and entry.request.txn == txn for entry in self.send_queue)
+        return txn in self.in_flight or txn in self.aborted_ids or queued
+
+    def is_exclusive(self) -> bool:
+        """Whether it carries an attempt that must not run twice, which a malformed answer to another request
+        must not end."""
+        return any(attempt.once for attempt in self.in_flight.values()) or any(
+            isinstance(entry, Attempt) and entry.once for entry in self.send_queue
         )
 
-    def give_up(self, attempt: Attempt) -> None:
-        """Where nothing was heard since it was sent, the connection may be dead: nothing new goes there."""
+    def abort_in_flight(self, attempt: Attempt) -> None:
+        """Tells the server to drop an attempt in flight. If nothing was received since it was sent, the
+        connection may be dead and takes no new requests."""
         txn = attempt.request.txn
-        del self.out[txn]
-        self.left.append(txn)
-        silent = now_us() - max(self.heard, attempt.begun) > self.pool.servers.silence()
-        self.stuck = self.stuck or silent
-        self.push(b"abort %s\r\n" % txn.encode())
-
-    def check(self) -> None:
-        """Guards against an answer that stops short: nothing else will come through behind it."""
-        if self.wire is not None and self.wire.peer_may_have_left():
-            return  # reads fail here; that says nothing of the server
-        partial = self.buffer.end - self.buffer.start
-        self.still = self.still + 1 if partial and partial == self.partial else 0
-        self.partial = partial
-        if self.still >= SHORT or (self.stuck and not self.load()):
+        del self.in_flight[txn]
+        self.aborted_ids.append(txn)
+        silence_us = now_us() - max(self.last_received_us, attempt.begun)
+        silent = silence_us > self.pool.servers.silence_timeout_us()
+        self.unresponsive = self.unresponsive or silent
+        self.enqueue(b"abort %s\r\n" % txn.encode())
+
+    def check_progress(self) -> None:
+        """Called in each sweep: closes a connection whose current answer stopped halfway, since no other
+        answer can follow it, and an unresponsive one without requests."""
+        if self.stream is not None and self.stream.peer_may_have_left():
+            return  # reads fail on this machine, which says nothing about the server
+        incomplete_bytes = self.buffer.end - self.buffer.start
+        stalled = incomplete_bytes and incomplete_bytes == self.incomplete_bytes
+        self.stalled_sweeps = self.stalled_sweeps + 1 if stalled else 0
+        self.incomplete_bytes = incomplete_bytes
+        if self.stalled_sweeps >= MAX_STALLED_SWEEPS or (self.unresponsive and not self.load()):
             self.close(Outcome.BROKEN)
 
-    def push(self, what: Attempt | bytes) -> None:
-        self.send_queue.append(what)
-        self.used = now_us()
-        self.wake.set()
+    def enqueue(self, entry: Attempt | bytes) -> None:
+        """Queues an attempt or an encoded line for the writer task."""
+        self.send_queue.append(entry)
+        self.last_used_us = now_us()
+        self.send_requested.set()
 
     # ---- One task connects and reads, another writes
     async def _connect(self) -> socket.socket:
-        """Tries again after an error that may pass, unless another connection can take what waits here.
-        Raises OSError where it may not."""
+        """Retries after an error that may pass, unless another connection can take what is queued here.
+        Raises OSError where retrying does not help."""
         loop = asyncio.get_running_loop()
-        pause = 0.0
+        delay = 0.0
         while True:
             try:
                 self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 sock.setblocking(False)
-                self.lacking = False
+                self.failed_locally = False
                 await loop.sock_connect(sock, self.pool.address)
                 return sock
             except OSError as problem:
                 metrics.count_failed_call("connect.server", problem)
-                meaning = classify_error(problem)
-                self.lacking = meaning is ErrorKind.LOCAL
-                if meaning is ErrorKind.FATAL or (self.lacking and self.pool.lacks_a_socket(self)):
+                kind = classify_error(problem)
+                self.failed_locally = kind is ErrorKind.LOCAL
+                if kind is ErrorKind.FATAL or (self.failed_locally and self.pool.report_local_failure(self)):
                     raise
             self._close_socket()
-            pause = next_retry_delay(pause)
-            await asyncio.sleep(pause)
+            delay = next_retry_delay(delay)
+            await asyncio.sleep(delay)
 
     def _close_socket(self) -> None:
         sock, self.sock = self.sock, None
@@ -143,313 +161,340 @@
             close_quietly(sock)
 
     async def _run(self) -> None:
-        why = Outcome.BROKEN
+        reason = Outcome.BROKEN
         try:
             try:
                 async with asyncio.timeout(self.pool.limits.connect_timeout):
                     sock = await self._connect()
-                self.wire = wire = await self.pool.servers.transport_security.secure(self.pool.uid, sock)
+                self.stream = stream = await self.pool.servers.transport_security.secure(self.pool.uid, sock)
             except (OSError, TimeoutError):
-                why = Outcome.NOT_CONNECTED if self.lacking else Outcome.UNREACHABLE
+                reason = Outcome.NOT_CONNECTED if self.failed_locally else Outcome.UNREACHABLE
                 return
-            self.up, self.heard = True, now_us()
-            self.tasks.add(asyncio.create_task(self._write(wire)))
+            self.connected = True
+            self.last_received_us = now_us()
+            self.tasks.add(asyncio.create_task(self._write(stream)))
             while True:
-                got = await wire.receive_into(self.buffer.room())
-                if not got:
+                received = await stream.receive_into(self.buffer.room())
+                if not received:
                     return
-                self.heard, self.stuck = now_us(), False
-                self.buffer.end += got
-                self._parse()
+                self.last_received_us = now_us()
+                self.unresponsive = False
+                self.buffer.end += received
+                self._parse_answers()
         except (OSError, BufferError, ValueError) as problem:
             if not isinstance(problem, OSError):
-                logs.info(f"server {self.pool.uid}: bad answer: {problem}")
+                logs.info(f"server {self.pool.uid}: malformed answer: {problem}")
         finally:
-            self.close(why)
+            self.close(reason)
 
-    async def _write(self, wire: ServerStream) -> None:
+    async def _write(self, stream: ServerStream) -> None:
         try:
             while not self.closed:
-                await self.wake.wait()
-                self.wake.clear()
+                await self.send_requested.wait()
+                self.send_requested.clear()
                 while self.send_queue:
-                    await self._write_next(wire)
+                    await self._write_next(stream)
         except OSError:
             self.close(Outcome.BROKEN)
 
-    async def _write_next(self, wire: ServerStream) -> None:
-        """One attempt at the most, with what is to be given up before it. What waits behind a slow write is
-        checked when its own first byte can go. Apart from its task, which would hold on to requests and bytes
-        while it waits."""
-        given_up = list[bytes]()
-        while self.send_queue and isinstance(what := self.send_queue[0], bytes):
-            given_up.append(what)
+    async def _write_next(self, stream: ServerStream) -> None:
+        """Writes the abort lines at the front of the queue, or else one attempt. An attempt behind a slow
+        write is thus checked only when its own first byte can leave. Separate from `_write`, whose frame
+        would keep requests and their bytes alive while it waits."""
+        abort_lines = list[bytes]()
+        while self.send_queue and isinstance(entry := self.send_queue[0], bytes):
+            abort_lines.append(entry)
             self.send_queue.popleft()
-        if given_up:
-            await wire.send_all(b"".join(given_up))
+        if abort_lines:
+            await stream.send_all(b"".join(abort_lines))
         elif self.send_queue:
-            await self._send_attempt(wire)
+            await self._send_attempt(stream)
 
-    async def _send_attempt(self, wire: ServerStream) -> None:
+    async def _send_attempt(self, stream: ServerStream) -> None:
         attempt = self.send_queue.popleft()
         assert isinstance(attempt, Attempt)
         data = self._encode(attempt)
         if not data:
             return
         try:
-            sent = wire.send_now(data)
+            sent = stream.send_now(data)
         except OSError:
-            self.send_queue.appendleft(attempt)  # not a byte has left: another connection may take it
+            self.send_queue.appendleft(attempt)  # no byte has left: another connection may take it
             raise
         if not sent:
             self.send_queue.appendleft(attempt)
-            await wire.wait_writable()
+            await stream.wait_writable()
             return
-        self.out[attempt.request.txn] = attempt
+        self.in_flight[attempt.request.txn] = attempt
         self.pool.exchange.begun(attempt)
-        await wire.send_all(memoryview(data)[sent:])
+        await stream.send_all(memoryview(data)[sent:])
         self.pool.servers.forwards += 1
 
-    def _encode(self, what: Attempt) -> bytes:
-        """The rules are checked once more here, at the write. Nothing where it may not be written."""
-        if (
-            not self.accepts_requests()
-        ):  # who the server was shown to be no longer holds: another one is made, or none
-            self.pool.again(what, Outcome.BROKEN)
+    def _encode(self, attempt: Attempt) -> bytes:
+        """The request as it is written, or nothing if it may not be written any more: the core checks its
+        rules again right before the first byte."""
+        if not self.accepts_requests():  # the server's identity is no longer trusted: try another connection
+            self.pool.retry(attempt, Outcome.BROKEN)
             return b""
-        if not self.pool.exchange.clear(what):
+        if not self.pool.exchange.clear(attempt):
             return b""
-        request = what.request
-        limit = max(1, (what.until - now_us()) // 1000)
+        request = attempt.request
+        limit = max(1, (attempt.until - now_us()) // 1000)
         text = f"fetch {request.txn} cls={request.cls},item={request.item},chunk={request.part},limit={limit}"
-        if what.source is not None:
-            text += f",fetch={what.source}"
-        if what.rank:
-            text += f",retain={what.rank}"
-        if what.newer:
-            text += f",newer={max(1, what.newer // 1000)}"
-        manner = [
-            word
-            for word, wanted in (
-                ("wait-for", what.join),
-                ("no-fetch", what.only_held),
-                ("background", what.renew),
+        if attempt.source is not None:
+            text += f",fetch={attempt.source}"
+        if attempt.rank:
+            text += f",retain={attempt.rank}"
+        if attempt.newer:
+            text += f",newer={max(1, attempt.newer // 1000)}"
+        options = [
+            option
+            for option, enabled in (
+                ("wait-for", attempt.join),
+                ("no-fetch", attempt.only_held),
+                ("background", attempt.renew),
             )
-            if wanted
+            if enabled
         ]
-        if manner:
-            text += f",handle={'+'.join(manner)}"
+        if options:
+            text += f",handle={'+'.join(options)}"
         if request.have:
             text += f",holds={request.have}"
         if request.signature and self.pool.wants_signature:
             text += f",signature={request.signature}"
         return b"%s %d\r\n%s\r\n" % (text.encode(), len(request.body), request.body)
 
-    def _parse(self) -> None:
+    def _parse_answers(self) -> None:
+        """Takes every complete answer from the buffer. Raises ValueError on a malformed one."""
         buffer = self.buffer
         while buffer.start < buffer.end:
-            at = buffer.data.find(b"\r\n", buffer.start, buffer.end)
-            if at < 0:
-                if buffer.end - buffer.start > LINE:
-                    raise ValueError("line too long")
+            line_end = buffer.data.find(b"\r\n", buffer.start, buffer.end)
+            if line_end < 0:
+                if buffer.end - buffer.start > MAX_LINE_BYTES:
+                    raise ValueError(f"line longer than {MAX_LINE_BYTES} bytes")
                 return
-            words = buffer.data[buffer.start : at].decode("ascii").split(" ")
-            after = at + 2
+            words = buffer.data[buffer.start : line_end].decode("ascii").split(" ")
+            body_start = line_end + 2
             if len(words) != 4 or words[1] not in OUTCOMES:
-                raise ValueError(f"no answer: {len(words)} words, {words[1:2]}")
-            size = fields.number(words[3], 0, LONGEST)
-            if buffer.end < after + size + 2:
+                raise ValueError(f"not an answer line: {len(words)} words, outcome {words[1:2]}")
+            size = fields.number(words[3], 0, MAX_OBJECT_BYTES)
+            body_end = body_start + size
+            if buffer.end < body_end + 2:
                 return
-            body = bytes(memoryview(buffer.data)[after : after + size])
-            if buffer.data[after + size : after + size + 2] != b"\r\n":
-                raise ValueError("no line end after the bytes")
-            after += size + 2
-            buffer.start = after
-            self._answer(words, body)
-
-    def _answer(self, words: list[str], body: bytes) -> None:
-        """Raises ValueError on a spoilt line before its attempt is taken off: both end together."""
-        self.used = now_us()
-        if words[0] not in self.out:
-            return  # given up meanwhile, a second copy, or an id that is none of ours
+            body = bytes(memoryview(buffer.data)[body_start:body_end])
+            if buffer.data[body_end : body_end + 2] != b"\r\n":
+                raise ValueError(f"no line end after a body of {size} bytes")
+            buffer.start = body_end + 2
+            self._handle_answer(words, body)
+
+    def _handle_answer(self, words: list[str], body: bytes) -> None:
+        """Finishes the attempt that is answered. Raises ValueError on a malformed line while the attempt is
+        still in flight, so that it ends with the connection."""
+        self.last_used_us = now_us()
+        if words[0] not in self.in_flight:
+            return  # aborted meanwhile, a duplicate, or an unknown id
         report = Report(OUTCOMES[words[1]], body=body, same=words[1] == "unchanged")
         row = fields.read(words[2])
         report.tag = row.get("version", "")
         if not (report.tag.isalnum() or not report.tag):
-            raise ValueError("bad tag of a copy")
-        report.note = NOTES.get(row.get("tell", ""), 0)
+            raise ValueError(f"version of a copy is not alphanumeric: {report.tag[:40]!r}")
+        report.note = NOTE_NUMBERS.get(row.get("tell", ""), 0)
         report.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
         report.stamp = fields.number(row.get("stamp", "0"), 0, 2**53)
         self.pool.servers.on_copy_timestamp(report.stamp)
         if "meter" in row:
             report.load = self.pool.read_load(row["meter"])
-        attempt = self.out.pop(words[0])
-        self.pool.servers.answered(self.used - attempt.begun)
+        attempt = self.in_flight.pop(words[0])
+        self.pool.servers.record_answer_time(self.last_used_us - attempt.begun)
         self.pool.exchange.finish(attempt, report)
 
-    def close(self, why: Outcome) -> None:
-        """What waited was never written; what is out may have run."""
+    def close(self, reason: Outcome) -> None:
+        """Closes the connection, once. Attempts in flight may have run and end with `reason`; queued ones
+        were never written and are tried elsewhere."""
         if self.closed:
             return
         self.closed = True
         self.pool.connections.remove(self)
         self.pool.servers.connections.pop(self, None)
-        metrics.count(f"server_closed.{why.value}")
-        if self.out:
-            ids = ",".join(self.out)
-            logs.event("server", "closed_under_requests", server=self.pool.uid, reason=why.value, ids=ids)
+        metrics.count(f"server_closed.{reason.value}")
+        if self.in_flight:
+            ids = ",".join(self.in_flight)
+            logs.event("server", "closed_under_requests", server=self.pool.uid, reason=reason.value, ids=ids)
         current = asyncio.current_task()
         for task in self.tasks:
             if task is not current:
                 task.cancel()
         self.tasks.clear()
         self.buffer = Buffer(0, 0)
-        if self.wire is not None:
-            self.wire.close()
-            self.wire = None
+        if self.stream is not None:
+            self.stream.close()
+            self.stream = None
         self._close_socket()
-        out, waiting = list(self.out.values()), list(self.send_queue)
-        self.out.clear()
+        in_flight = list(self.in_flight.values())
+        queued = list(self.send_queue)
+        self.in_flight.clear()
         self.send_queue.clear()
-        for attempt in out:
-            self.pool.exchange.finish(attempt, Report(why))
-        for what in waiting:
-            if isinstance(what, Attempt):
-                self.pool.again(what, why)
+        for attempt in in_flight:
+            self.pool.exchange.finish(attempt, Report(reason))
+        for entry in queued:
+            if isinstance(entry, Attempt):
+                self.pool.retry(entry, reason)
 
 
 class ConnectionPool:
-    """All connections to one server, known by its id."""
+    """All connections to one server, identified by its id."""
 
     def __init__(self, servers: Servers, uid: str, endpoint: str) -> None:
-        self.servers, self.uid, self.endpoint = servers, uid, endpoint
-        self.exchange, self.limits = servers.exchange, servers.limits
+        self.servers = servers
+        self.uid = uid
+        self.endpoint = endpoint
+        self.exchange = servers.exchange
+        self.limits = servers.limits
         host, _, port = endpoint.rpartition(":")
         self.address = (host, int(port))
         self.connections: list[ServerConnection] = []
-        self.most, self.most_at = MOST_CONNECTIONS, 0
-        self.lacked_at = -LACKING_FOR  # when a connection last failed for want of something on this machine
-        self.retired = False  # its server is gone, or has another address
+        self.connection_cap = MAX_CONNECTIONS
+        self.cap_set_us = 0
+        self.local_failure_us = -LOCAL_FAILURE_PAUSE_US  # when connecting last failed for a local reason
+        self.retired = False  # the server is gone or has a new address
         self.wants_signature = uid in self.limits.signature_boxes
 
     def read_load(self, text: str) -> tuple[float, ...]:
-        pairs = dict(p.split(":", 1) for p in text.split(";") if ":" in p)
-        return tuple(float(v) for v in pairs.values())
+        """The values of a load report, `name:value;name:value`. Raises ValueError where one is no number."""
+        pairs = dict(pair.split(":", 1) for pair in text.split(";") if ":" in pair)
+        return tuple(float(value) for value in pairs.values())
 
     def send(self, attempt: Attempt) -> None:
-        """The least busy connection that may take it, or a new one. What must not run twice goes alone:
-        whatever ends a connection ends all that is out on it."""
+        """Queues an attempt on the least loaded connection that may take it, or on a new one. An attempt that
+        must not run twice gets a connection of its own where possible, because closing a connection ends
+        everything in flight on it. Finishes the attempt as FULL if there is no connection for it."""
         now, limits = now_us(), self.limits
-        idle, silence = int(limits.idle * 0.8e6), self.servers.silence()
-        fit = [
+        idle_timeout_us = int(limits.idle * 0.8e6)  # well before the server closes idle connections
+        silence_timeout_us = self.servers.silence_timeout_us()
+        available = [
             connection
             for connection in self.connections
-            if connection.fit(now, silence, idle)
+            if connection.can_take_requests(now, silence_timeout_us, idle_timeout_us)
             and connection.load() < limits.streams
-            and not connection.holds(attempt)
+            and not connection.knows_request(attempt)
         ]
-        free = [connection for connection in fit if not connection.alone()]
-        best = min(free, key=ServerConnection.load, default=None)
-        if best is None or best.load() >= (1 if attempt.once else SHARED):
-            if now - self.most_at > MOST_FOR:
-                self.most = MOST_CONNECTIONS  # it took no more connections then; it may now
-            lacking = bool(fit) and now - self.lacked_at < LACKING_FOR
-            if len(self.connections) < self.most and not lacking and self.servers.room():
-                best = ServerConnection(self)
-                self.connections.append(best)
-                self.servers.connections[best] = None
-        if best is None:
-            best = min(fit, key=ServerConnection.load, default=None)
-        if best is None:  # whatever is out on a silent one would end with it, so it is not closed
+        shareable = [connection for connection in available if not connection.is_exclusive()]
+        chosen = min(shareable, key=ServerConnection.load, default=None)
+        if chosen is None or chosen.load() >= (1 if attempt.once else SHARED_REQUESTS):
+            if now - self.cap_set_us > CONNECTION_CAP_US:
+                self.connection_cap = MAX_CONNECTIONS  # the server may accept more again
+            failed_recently = bool(available) and now - self.local_failure_us < LOCAL_FAILURE_PAUSE_US
+            if (
+                len(self.connections) < self.connection_cap
+                and not failed_recently
+                and self.servers.make_room()
+            ):
+                chosen = ServerConnection(self)
+                self.connections.append(chosen)
+                self.servers.connections[chosen] = None
+        if chosen is None:
+            chosen = min(available, key=ServerConnection.load, default=None)
+        if chosen is None:  # a silent connection is not closed for it: everything in flight there would end
             loop = asyncio.get_running_loop()
             loop.call_soon(self.exchange.finish, attempt, Report(Outcome.FULL))
             return
-        best.push(attempt)
+        chosen.enqueue(attempt)
 
-    def others(self) -> list[ServerConnection]:
-        """Connections that are up and may take what could not go elsewhere."""
+    def usable_connections(self) -> list[ServerConnection]:
+        """Established connections that may take what could not be sent on another one."""
         return [
             connection
             for connection in self.connections
-            if connection.up and connection.fit(now_us(), 10**5, 10**6)
+            if connection.connected and connection.can_take_requests(now_us(), 10**5, 10**6)
         ]
 
-    def lacks_a_socket(self, connection: ServerConnection) -> bool:
-        """Notes that this machine could not make a connection. Can others take what waits on this one?"""
-        self.lacked_at = now_us()
-        return any(other is not connection for other in self.others())
+    def report_local_failure(self, connection: ServerConnection) -> bool:
+        """Notes that `connection` could not be made for lack of local resources. Returns whether another
+        connection can take what is queued on it."""
+        self.local_failure_us = now_us()
+        return any(other is not connection for other in self.usable_connections())
 
-    def again(self, attempt: Attempt, why: Outcome) -> None:
-        """Its connection never came up, or ended before it was written: nothing ran."""
+    def retry(self, attempt: Attempt, reason: Outcome) -> None:
+        """Sends an attempt on another connection, or finishes it, after its connection could not be made or
+        ended before the attempt was written. The server did not run it."""
         if attempt.ended:
             return
         attempt.waits += 1
-        others = self.others()
-        if why is Outcome.NOT_CONNECTED:
+        others = self.usable_connections()
+        if reason is Outcome.NOT_CONNECTED:
             if others:
-                min(others, key=ServerConnection.load).push(attempt)
+                min(others, key=ServerConnection.load).enqueue(attempt)
             else:
-                self.exchange.finish(attempt, Report(why))
+                self.exchange.finish(attempt, Report(reason))
             return
-        if why is Outcome.UNREACHABLE and others:
-            self.most, self.most_at = max(1, len(self.connections)), now_us()  # it accepts no more
-        if attempt.waits < TRIES and (why is Outcome.BROKEN or others):
+        if reason is Outcome.UNREACHABLE and others:  # the server accepts no more connections
+            self.connection_cap = max(1, len(self.connections))
+            self.cap_set_us = now_us()
+        if attempt.waits < MAX_CONNECTION_TRIES and (reason is Outcome.BROKEN or others):
             self.servers.send(attempt)
             return
         self.exchange.finish(attempt, Report(Outcome.UNREACHABLE))
 
     def close(self) -> None:
+        """Closes all connections."""
         for connection in list(self.connections):
             connection.close(Outcome.BROKEN)
 
 
 class Servers:
-    """The carrier of the core on the platform's wire."""
+    """Sends the attempts of the core to the listed servers, through one connection pool for each server."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.exchange: Exchange
-        self.ending = False
+        self.closing = False
         self.transport_security: TransportSecurity = PlainTransport()
-        self.on_copy_timestamp: Callable[[int], None] = lambda stamp: None  # told the stamps of copies
+        # Called with the timestamp (Unix ms) at which the origin issued a received copy.
+        self.on_copy_timestamp: Callable[[int], None] = lambda unix_ms: None
         self.pools: dict[str, ConnectionPool] = {}
-        self.retired: list[ConnectionPool] = []
-        self.connections: dict[
-            ServerConnection, None
-        ] = {}  # all connections, of whatever pool, the oldest first
-        self.forwards = 0  # attempts written whole
-        self.usual = 0.0  # us that an answer took, lately
+        self.retired_pools: list[ConnectionPool] = []
+        self.connections: dict[ServerConnection, None] = {}  # of all pools, the oldest first
+        self.forwards = 0  # attempts written completely
+        self.mean_answer_us = 0.0  # smoothed time until an answer
 
     def update_server(self, uid: str, endpoint: str, state: str) -> None:
-        """A change of the list. An address may pass to another server, so connections go by id."""
+        """Applies one entry of the list of servers. A changed endpoint starts a new pool: an address may pass
+        to another server, so connections belong to an id."""
         pool = self.pools.get(uid)
         if pool is not None and (state == "Gone" or pool.endpoint != endpoint):
             pool.retired = True
-            self.retired.append(self.pools.pop(uid))
+            self.retired_pools.append(self.pools.pop(uid))
             pool = None
         if pool is None and state != "Gone":
             self.pools[uid] = ConnectionPool(self, uid, endpoint)
 
-    def answered(self, took: int) -> None:
-        self.usual += USUAL * (took - self.usual) if self.usual else took
-
-    def silence(self) -> int:
-        """How long a connection may say nothing while an answer is due on it. Guards against a new one for
-        every request beside a large one: where traffic is thin, nothing else is heard until that is here."""
-        return int(self.limits.connect_timeout * 1e6 + 2 * self.usual)
-
-    def room(self) -> bool:
-        """One more descriptor for a connection to a server? An idle one makes way where there is none."""
-        if self.ending:
+    def record_answer_time(self, took_us: int) -> None:
+        """Updates the mean answer time with one answer."""
+        mean = self.mean_answer_us
+        self.mean_answer_us += ANSWER_TIME_SMOOTHING * (took_us - mean) if mean else took_us
+
+    def silence_timeout_us(self) -> int:
+        """Time without received bytes after which a connection with requests in flight counts as
+        unresponsive. It includes the mean answer time: with little traffic nothing else arrives during a
+        large answer, and each request beside it would otherwise open a new connection."""
+        return int(self.limits.connect_timeout * 1e6 + 2 * self.mean_answer_us)
+
+    def make_room(self) -> bool:
+        """Whether one more connection may be opened. At the limit, closes the idle connection that was unused
+        for longest."""
+        if self.closing:
             return False
         if len(self.connections) < self.limits.server_connections:
             return True
-        idle = [connection for connection in self.connections if connection.up and not connection.load()]
+        idle = [
+            connection for connection in self.connections if connection.connected and not connection.load()
+        ]
         if idle:
-            min(idle, key=lambda connection: connection.used).close(Outcome.BROKEN)
+            min(idle, key=lambda connection: connection.last_used_us).close(Outcome.BROKEN)
         return bool(idle)
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt to its server; finishes it as UNREACHABLE if that is not listed."""
         pool = self.pools.get(attempt.server)
         if pool is None:
             loop = asyncio.get_running_loop()
@@ -458,30 +503,33 @@
         pool.send(attempt)
 
     def abort(self, attempt: Attempt) -> None:
+        """Removes an attempt from the queue it waits in, or tells its server to drop it."""
         txn = attempt.request.txn
-        for pool in (self.pools.get(attempt.server), *self.retired):
+        for pool in (self.pools.get(attempt.server), *self.retired_pools):
             for connection in pool.connections if pool else ():
-                if connection.out.get(txn) is attempt:
-                    connection.give_up(attempt)
+                if connection.in_flight.get(txn) is attempt:
+                    connection.abort_in_flight(attempt)
                     return
                 if attempt in connection.send_queue:
                     connection.send_queue.remove(attempt)
                     return
 
     def sweep(self) -> None:
-        """Closes what is idle for the settings' time, and what its server left behind."""
+        """Closes connections that are stalled, expired or idle, and those without requests whose server is
+        gone or no longer trusted."""
         now = now_us()
         for connection in list(self.connections):
-            connection.check()
-            if connection.wire is not None and connection.wire.expired():
+            connection.check_progress()
+            if connection.stream is not None and connection.stream.expired():
                 connection.close(Outcome.BROKEN)
-            if not connection.closed and not connection.load() and connection.up:
-                gone = connection.pool.retired or not connection.accepts_requests()
-                if gone or now - connection.used > self.limits.idle * 0.9e6:
+            if not connection.closed and not connection.load() and connection.connected:
+                obsolete = connection.pool.retired or not connection.accepts_requests()
+                if obsolete or now - connection.last_used_us > self.limits.idle * 0.9e6:
                     connection.close(Outcome.BROKEN)
-        self.retired = [pool for pool in self.retired if pool.connections]
+        self.retired_pools = [pool for pool in self.retired_pools if pool.connections]
 
     def close(self) -> None:
-        self.ending = True
-        for pool in (*self.pools.values(), *self.retired):
+        """Closes all connections and opens no new ones."""
+        self.closing = True
+        for pool in (*self.pools.values(), *self.retired_pools):
             pool.close()
--- a/onyxpulley/streams.py
+++ b/onyxpulley/streams.py
@@ -1,4 +1,4 @@
-"""Connections as streams of bytes. A call that fails for a moment is made again; only an error that ends the
+"""Byte streams over connections. A call that fails for the moment is retried; only an error that ends the
 connection is raised."""
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
 
 Data = bytes | memoryview
-SENDS_A_TURN = 16
+MAX_SENDS_PER_TURN = 16  # before other tasks run, where each call takes few bytes
 MAX_FAILING_US = (
-    10_000_000  # us for which a call on one connection may fail: longer than any deadline counted
+    10_000_000  # a connection on which calls fail for longer is given up; no deadline lasts so long
 )
-OUT_OF_TOUCH = 50_000  # us: half of the time after a client's end in which an attempt may still begin
+PEER_UNSEEN_US = 50_000  # half of the time after a client has left in which an attempt may still start
 
 
 def close_quietly(sock: socket.socket) -> None:
-    """Closes whatever `close` says: Linux frees the descriptor in any case."""
+    """Closes a socket and only counts an error: Linux frees the descriptor in any case."""
     try:
         sock.close()
     except OSError as problem:
@@ -30,7 +30,7 @@
 
 
 def disable_write_delay(sock: socket.socket) -> bool:
-    """Keeps the system from holding small writes back. False where that cannot be set now."""
+    """Sets TCP_NODELAY, so that small writes leave at once. False if it cannot be set now."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as problem:
@@ -40,7 +40,7 @@
 
 
 async def wait_writable(sock: socket.socket) -> None:
-    """Until the socket takes bytes, or has an error to tell."""
+    """Waits until the socket takes bytes or reports an error."""
     loop = asyncio.get_running_loop()
     writable = loop.create_future()
 
@@ -52,125 +52,136 @@
     try:
         await writable
     finally:
-        with contextlib.suppress(OSError):  # its deferred close may fail
+        with contextlib.suppress(OSError):  # the loop's deferred close of the socket may fail
             loop.remove_writer(sock)
 
 
 class Stream(Protocol):
-    """A connection, plain or under TLS. What it raises (OSError) ends it."""
+    """A connection, plain or under TLS. An OSError that it raises ends it."""
 
     @property
     def delayed_since(self) -> int:
-        """Since when what came last may have waited, because reads failed; 0 where it came just now."""
+        """Since when (monotonic us) the bytes received last may have waited because reads failed; 0 if they
+        arrived just now."""
         ...
 
     def peer_may_have_left(self) -> bool:
-        """Have reads failed for so long that the peer may have left unseen?"""
+        """Whether reads have failed for so long that the peer may have closed the connection unnoticed."""
         ...
 
     async def receive_into(self, room: memoryview) -> int:
-        """How many bytes came; 0 at the end."""
+        """Waits for bytes and returns how many were received; 0 at the end of the stream."""
         ...
 
     def send_now(self, data: Data) -> int:
-        """How many bytes were taken without waiting; 0: none now."""
+        """Returns how many bytes were taken without waiting; 0 if none can be taken now."""
         ...
 
     async def wait_writable(self) -> None:
-        """After `send_now` took none: until it is worth another try."""
+        """After `send_now` took nothing, waits until another try is worthwhile."""
         ...
 
-    async def send_all(self, data: Data) -> None: ...
+    async def send_all(self, data: Data) -> None:
+        """Sends everything, waiting as needed."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the connection."""
+        ...
 
 
 class SocketStream:
-    """A plain connection on a non-blocking socket. `peer` names the kind of peer in the counters,
-    `failing_since` tells since when it may have waited to be accepted. Times in monotonic microseconds, 0 for
-    never."""
+    """A plain connection on a non-blocking socket. Points in time are monotonic microseconds, 0 for never."""
 
     def __init__(self, sock: socket.socket, peer: str, failing_since: int = 0) -> None:
+        """`peer` names the kind of peer in the counters; `failing_since` is the time since when the
+        connection may have waited to be accepted."""
         self.sock, self.peer = sock, peer
-        self.failing_since = failing_since  # of reads; the next one that goes through ends it
+        self.reads_failing_since = failing_since  # until the next successful read
         self.delayed_since = self.sends_failing_since = 0
         self.loop = asyncio.get_running_loop()
-        self.without_delay = disable_write_delay(sock)
-        self.pause = 0.0  # seconds before the next try to send, after an error
+        self.write_delay_disabled = disable_write_delay(sock)
+        self.retry_delay = 0.0  # seconds before the next send after an error
 
     async def receive_into(self, room: memoryview) -> int:
-        pause = 0.0
+        """Waits for bytes and returns how many were received; 0 at the end of the stream."""
+        delay = 0.0
         while True:
             try:
-                got = await self.loop.sock_recv_into(self.sock, room)
+                received = await self.loop.sock_recv_into(self.sock, room)
             except OSError as problem:
-                self._raise_if_ended("recv", problem)
-                self.failing_since = self.failing_since or now_us()
-                if now_us() - self.failing_since > MAX_FAILING_US:
+                self._raise_if_fatal("recv", problem)
+                self.reads_failing_since = self.reads_failing_since or now_us()
+                if now_us() - self.reads_failing_since > MAX_FAILING_US:
                     raise
             else:
-                self.delayed_since, self.failing_since = self.failing_since, 0
-                return got
-            pause = next_retry_delay(pause)
-            await asyncio.sleep(pause)
+                self.delayed_since, self.reads_failing_since = self.reads_failing_since, 0
+                return received
+            delay = next_retry_delay(delay)
+            await asyncio.sleep(delay)
 
     def receive_now(self, room: memoryview) -> int | None:
-        """How many bytes were there; 0 at the end, None where there is nothing now."""
+        """Returns how many bytes were there; 0 at the end of the stream, None if there are none now."""
         try:
             return self.sock.recv_into(room)
         except BlockingIOError:
             return None
         except OSError as problem:
-            self._raise_if_ended("recv", problem)
-            self.failing_since = self.failing_since or self.delayed_since or now_us()
+            self._raise_if_fatal("recv", problem)
+            self.reads_failing_since = self.reads_failing_since or self.delayed_since or now_us()
             return None
 
     def peer_may_have_left(self) -> bool:
-        return bool(self.failing_since) and now_us() - self.failing_since > OUT_OF_TOUCH
+        """Whether reads have failed for so long that the peer may have closed the connection unnoticed."""
+        return bool(self.reads_failing_since) and now_us() - self.reads_failing_since > PEER_UNSEEN_US
 
     def send_now(self, data: Data) -> int:
-        self.without_delay = self.without_delay or disable_write_delay(self.sock)
+        """Returns how many bytes were taken without waiting; 0 if none can be taken now."""
+        self.write_delay_disabled = self.write_delay_disabled or disable_write_delay(self.sock)
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             return 0
         except OSError as problem:
-            self._raise_if_ended("send", problem)
+            self._raise_if_fatal("send", problem)
             self.sends_failing_since = self.sends_failing_since or now_us()
             if now_us() - self.sends_failing_since > MAX_FAILING_US:
                 raise
-            self.pause = next_retry_delay(self.pause)
+            self.retry_delay = next_retry_delay(self.retry_delay)
             return 0
-        self.pause, self.sends_failing_since = 0.0, 0
+        self.retry_delay, self.sends_failing_since = 0.0, 0
         return sent
 
     async def wait_writable(self) -> None:
-        if self.pause:
-            await asyncio.sleep(self.pause)
+        """After `send_now` took nothing, waits until the socket takes bytes, or the delay after an error."""
+        if self.retry_delay:
+            await asyncio.sleep(self.retry_delay)
         else:
             await wait_writable(self.sock)
 
     def would_block(self) -> bool:
-        """Would the next byte have to wait?"""
+        """Whether the next byte would have to wait."""
         poll = select.poll()
         poll.register(self.sock, select.POLLOUT)
         return not poll.poll(0)
 
     async def send_all(self, data: Data) -> None:
-        rest, turn = memoryview(data), SENDS_A_TURN
+        """Sends everything, waiting as needed, and lets other tasks run between many small sends."""
+        rest, sends_left = memoryview(data), MAX_SENDS_PER_TURN
         while rest:
             sent = self.send_now(rest)
-            rest, turn = rest[sent:], turn - 1
+            rest, sends_left = rest[sent:], sends_left - 1
             if not sent:
                 await self.wait_writable()
-            elif not turn:  # others have their turn where each call takes few bytes
+            elif not sends_left:
                 await asyncio.sleep(0)
-                turn = SENDS_A_TURN
+                sends_left = MAX_SENDS_PER_TURN
 
     def close(self) -> None:
+        """Closes the socket."""
         close_quietly(self.sock)
 
-    def _raise_if_ended(self, call: str, problem: OSError) -> None:
+    def _raise_if_fatal(self, call: str, problem: OSError) -> None:
         metrics.count_failed_call(f"{call}.{self.peer}", problem)
         if classify_error(problem) is ErrorKind.FATAL:
             raise problem
--- a/onyxpulley/system_calls.py
+++ b/onyxpulley/system_calls.py
@@ -1,4 +1,4 @@
-"""What an error of a system call on a socket means, and how long to wait before the call is made again.
+"""Classification of the errors of system calls, and the delay before a failed call is retried.
 
 docs/system-calls.md lists every place where the program makes such a call.
 """
@@ -8,12 +8,15 @@
 import errno
 from enum import Enum
 
-FIRST_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.001, 0.02  # seconds before a failed call is made again
+FIRST_RETRY_DELAY_S = 0.001
+MAX_RETRY_DELAY_S = 0.02
 
 
 class ErrorKind(Enum):
-    LOCAL = "local"  # this machine lacks something for a moment: it says nothing of the peer
-    PATH = "path"  # the way to the peer is disturbed: a connection that is up may live on
+    """What a failed system call says about the connection and its peer."""
+
+    LOCAL = "local"  # this machine lacks a resource for the moment: says nothing about the peer
+    PATH = "path"  # the network path is disturbed: an established connection may survive
     FATAL = "fatal"  # this connection is over, or the peer refuses it
 
 
@@ -30,18 +33,19 @@
         errno.ENETDOWN,
         errno.EIO,
         errno.ENOSPC,
-        errno.EPERM,  # a full table of the packet filter
+        errno.EPERM,  # the connection table of the packet filter is full
     }
 )
 _PATH = frozenset({errno.EHOSTUNREACH, errno.EHOSTDOWN, errno.ETIMEDOUT})
 
 
 def classify_error(problem: OSError) -> ErrorKind:
+    """The kind of an error by its errno; FATAL for one that is not known to pass."""
     if problem.errno in _LOCAL:
         return ErrorKind.LOCAL
     return ErrorKind.PATH if problem.errno in _PATH else ErrorKind.FATAL
 
 
-def next_retry_delay(pause: float) -> float:
-    """Seconds to wait after one more failure; `pause` is the wait before it, 0 at first."""
-    return min(MAX_RETRY_DELAY_S, 2 * pause) if pause else FIRST_RETRY_DELAY_S
+def next_retry_delay(delay: float) -> float:
+    """Seconds to wait after one more failure; `delay` is the wait before it, 0 after the first failure."""
+    return min(MAX_RETRY_DELAY_S, 2 * delay) if delay else FIRST_RETRY_DELAY_S
