--- a/onyxpulley/discovery.py
+++ b/onyxpulley/discovery.py
@@ -1,4 +1,5 @@
-"""The bulletin on its sockets: calls that are resumed where they broke off, and read again before a write."""
+"""The client of discovery: connections that resume after the last event, and are read again before a
+write."""
 
 from __future__ import annotations
 
@@ -29,57 +30,61 @@
 from onyxpulley.servers import Servers
 from onyxpulley.streams import close_quietly
 
-LOOK = 0.02  # seconds for which what was read counts as all there is: a small part of the grace of a drain
+READ_VALID_S = 0.02  # how long a read counts as up to date: a small part of the grace period of a drain
 
 
 class DiscoveryConnection:
-    """One connection to the bulletin."""
+    """One connection to discovery."""
 
     def __init__(self, client: DiscoveryClient) -> None:
+        """Raises OSError if no socket can be made."""
         self.client = client
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        self.buffer = Buffer(16_384, client.line)
+        self.buffer = Buffer(16_384, client.max_line_bytes)
         self.connected = False
-        self.received_bytes = 0  # bytes so far
+        self.received_bytes = 0
         self.task: asyncio.Task[None]
 
-    async def run(self, key: int, address: tuple[str, int]) -> None:
-        """Until it is up; from then on whoever finds it readable reads it."""
+    async def connect(self, key: int, address: tuple[str, int]) -> None:
+        """Connects and asks for the events after the last one; from then on the client reads whenever the
+        socket is readable."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.sock_connect(self.sock, address)
                 await loop.sock_sendall(self.sock, b"after %d\n" % self.client.last_number)
             self.connected = True
-            self.client.schedule.up(monotonic(), key)
+            self.client.schedule.connected(monotonic(), key)
             loop.add_reader(self.sock, self.client.read, key)
         except OSError as problem:
             metrics.count_failed_call("connect.discovery", problem)
-            self.client.end(key)
+            self.client.close_connection(key)
         finally:
             if not self.connected:
                 close_quietly(self.sock)
 
-    def lines(self) -> Sequence[bytes] | None:
-        """All lines that are there now, None at its end. Raises BufferError on one that is too long."""
-        found: list[bytes] = []
+    def read_lines(self) -> Sequence[bytes] | None:
+        """All complete lines received so far, or None at the end of the stream. Raises BufferError if a line
+        is too long."""
+        lines: list[bytes] = []
         try:
             while True:
-                got = self.sock.recv_into(self.buffer.room())
-                if not got:
-                    return found or None
-                self.received_bytes += got
-                self.buffer.end += got
-                while (line := self.buffer.line(self.client.line)) is not None:
-                    found.append(line)
+                received = self.sock.recv_into(self.buffer.room())
+                if not received:
+                    return lines or None
+                self.received_bytes += received
+                self.buffer.end += received
+                while (line := self.buffer.line(self.client.max_line_bytes)) is not None:
+                    lines.append(line)
         except BlockingIOError:
-            return found
+            return lines
         except OSError as problem:
             metrics.count_failed_call("recv.discovery", problem)
-            return found or None
+            return lines or None
 
     def close(self) -> None:
+        """Closes an established connection, or cancels the task that establishes it."""
         if self.connected:
             asyncio.get_running_loop().remove_reader(self.sock)
             close_quietly(self.sock)
@@ -87,168 +92,181 @@
             self.task.cancel()
 
 
-def say(text: str) -> None:
+def log_line(text: str) -> None:
+    """Logs a line about the connections to discovery."""
     logs.info(f"bulletin: {text}")
 
 
 class DiscoveryClient:
+    """Follows the events of discovery and applies them to the decisions, the servers and the own copies."""
+
     def __init__(
         self,
         address: tuple[str, int],
         seed: int,
-        line: int,
+        max_line_bytes: int,
         facade: Facade,
         exchange: Exchange,
         servers: Servers,
     ) -> None:
-        self.address, self.line = address, line
+        self.address = address
+        self.max_line_bytes = max_line_bytes
         self.facade, self.exchange, self.servers = facade, exchange, servers
-        self.log: Callable[[str], None] = say
-        self.events, self.schedule = EventReader(self.log), ConnectionSchedule(random.Random(seed).random)
+        self.log: Callable[[str], None] = log_line
+        self.events = EventReader(self.log)
+        self.schedule = ConnectionSchedule(random.Random(seed).random)
         self.connections: dict[int, DiscoveryConnection] = {}
-        self.changed = asyncio.Event()
-        self.caught_up = asyncio.Event()  # it spoke, and what came with its first words has been taken in
-        self.last_read = self.heard = monotonic()
+        self.changed = asyncio.Event()  # the schedule is to be asked again
+        self.caught_up = asyncio.Event()  # the first lines of a connection have been applied
+        self.last_read = self.last_received = monotonic()
+        # Observers of the events, called before they are applied.
         self.on_members: Callable[[bool, Sequence[Member]], None] = lambda full, members: None
-        self.on_purge: Callable[[str | None, int | None, int], None] = lambda item, lot, issued: None
+        self.on_purge: Callable[[str | None, int | None, int], None] = lambda item, group, issued_ms: None
 
     @property
     def last_number(self) -> int:
+        """The number of the last event that was taken."""
         return self.events.last_number
 
     # ---- Events
-    def load_initial(self, no: int, rows: Sequence[dict[str, Any]]) -> None:
-        """The events of the start. Raises one of `PARSE_ERRORS`."""
-        found = [parse_event(row) for row in rows]
-        for stamp in (stamp for one in found for stamp in timestamps_of(one)):
-            self.facade.platform.observe_initial(stamp)
-        for one in found:
-            self.apply(one, live=False)
-        self.events.last_number = no
-
-    def apply(self, found: Event | None, live: bool = True) -> None:
-        for stamp in timestamps_of(found) if live else ():
-            self.facade.platform.observe_event(stamp)
-        if isinstance(found, MembershipUpdate):
-            self._roster(found.full, found.members)
-        elif isinstance(found, Purge):
-            self.on_purge(found.item, found.group, found.issued_ms)
-            self.exchange.copies.purge(found.item, found.group, found.issued_ms)
-            self.exchange.run(self.facade.purge(found.item, found.group, found.issued_ms, live))
-
-    def _roster(self, full: bool, members: Sequence[Member]) -> None:
+    def load_initial(self, number: int, rows: Sequence[dict[str, Any]]) -> None:
+        """Applies the events of the configuration file, the last of which has this number. Raises one of
+        `PARSE_ERRORS`."""
+        events = [parse_event(row) for row in rows]
+        for timestamp in (timestamp for event in events for timestamp in timestamps_of(event)):
+            self.facade.platform.observe_initial(timestamp)
+        for event in events:
+            self.apply(event, live=False)
+        self.events.last_number = number
+
+    def apply(self, event: Event | None, live: bool = True) -> None:
+        """Applies an event; `live` if discovery told it just now."""
+        for timestamp in timestamps_of(event) if live else ():
+            self.facade.platform.observe_event(timestamp)
+        if isinstance(event, MembershipUpdate):
+            self._update_members(event.full, event.members)
+        elif isinstance(event, Purge):
+            self.on_purge(event.item, event.group, event.issued_ms)
+            self.exchange.copies.purge(event.item, event.group, event.issued_ms)
+            self.exchange.run(self.facade.purge(event.item, event.group, event.issued_ms, live))
+
+    def _update_members(self, full: bool, members: Sequence[Member]) -> None:
         if not members and not full:
             return
         self.on_members(full, members)
         if full:
-            named = {m.uid for m in members}
-            for uid in [uid for uid in self.servers.pools if uid not in named]:
+            listed = {member.uid for member in members}
+            for uid in [uid for uid in self.servers.pools if uid not in listed]:
                 self.servers.update_server(uid, "", "Gone")
-        for m in members:
-            self.servers.update_server(m.uid, m.endpoint, m.state)
+        for member in members:
+            self.servers.update_server(member.uid, member.endpoint, member.state)
         self.exchange.run(self.facade.roster(full, members))
 
-    # ---- Calls
+    # ---- Connections
     def change_address(self, address: tuple[str, int]) -> None:
-        """Goes on at another address from the same number, at once: the old one may stay open, silent."""
+        """Connects to another address at once and goes on after the same event. The old connections are
+        closed, since they may stay open without sending anything."""
         if address != self.address:
             self.address = address
             for key in list(self.connections):
-                self.end(key)
-            self.schedule.moved()
+                self.close_connection(key)
+            self.schedule.reset()
             self.changed.set()
 
     async def run(self) -> None:
-        """Runs until cancelled."""
+        """Keeps a connection to discovery until cancelled."""
         try:
             while True:
                 self.changed.clear()
-                self.read_all()  # what is here already is no silence
+                self.read_all()  # a connection with unread bytes is not silent
                 step = self.schedule.step(monotonic())
-                for key in step.end:
-                    self.end(key)
-                if step.begin:
-                    self._begin()
+                for key in step.close:
+                    self.close_connection(key)
+                if step.connect:
+                    self._open_connection()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(step.wake):
+                    async with asyncio.timeout(step.wait_s):
                         await self.changed.wait()
         finally:
             for key in list(self.connections):
-                self.end(key)
+                self.close_connection(key)
 
-    def _begin(self) -> None:
-        key = self.schedule.begun(monotonic())
+    def _open_connection(self) -> None:
+        key = self.schedule.started(monotonic())
         try:
-            call = self.connections[key] = DiscoveryConnection(self)
-        except OSError as problem:  # no descriptor left: it is tried again
-            self.log(str(problem))
-            self.schedule.ended(monotonic(), key)
+            connection = self.connections[key] = DiscoveryConnection(self)
+        except OSError as problem:  # no descriptor is free: the schedule tries again
+            self.log(f"cannot open a socket: {problem}")
+            self.schedule.closed(monotonic(), key)
             return
-        call.task = asyncio.create_task(call.run(key, self.address))
+        connection.task = asyncio.create_task(connection.connect(key, self.address))
 
-    def end(self, key: int) -> None:
-        call = self.connections.pop(key, None)
-        if call is not None:
-            call.close()
-            self.schedule.ended(monotonic(), key)
+    def close_connection(self, key: int) -> None:
+        """Closes a connection, if it is still open."""
+        connection = self.connections.pop(key, None)
+        if connection is not None:
+            connection.close()
+            self.schedule.closed(monotonic(), key)
             self.changed.set()
 
     def read_pending(self) -> None:
-        """Before a write: news that lies unread behind other work counts as told. Guards against a drain that
-        waits while requests are worked off."""
-        if monotonic() - self.last_read >= LOOK:
+        """Called before a request is taken or written: reads all connections, unless that was just done. An
+        event that waits unread behind other work counts as told, above all the drain of a server."""
+        if monotonic() - self.last_read >= READ_VALID_S:
             self.read_all()
 
     def read_all(self) -> None:
-        for key, call in list(self.connections.items()):
-            if call.connected:
+        """Applies what all connections have received."""
+        for key, connection in list(self.connections.items()):
+            if connection.connected:
                 self.read(key)
 
     def read(self, key: int) -> None:
-        call = self.connections.get(key)
-        if call is None:
+        """Applies what a connection has received, and closes it at its end or after an error."""
+        connection = self.connections.get(key)
+        if connection is None:
             return
-        self.last_read, before = monotonic(), call.received_bytes
+        self.last_read, bytes_before = monotonic(), connection.received_bytes
         try:
-            lines = call.lines()
-            if call.received_bytes > before:
-                self._spoke(key)
+            lines = connection.read_lines()
+            if connection.received_bytes > bytes_before:
+                self._note_received(key)
             if lines is None:
-                self.end(key)
+                self.close_connection(key)
                 return
-            self._take(lines)
+            self._apply_lines(lines)
             if lines:
                 self.caught_up.set()
         except DiscoveryStreamError as problem:
             self.log(str(problem))
-            self.end(key)
+            self.close_connection(key)
         except BufferError as problem:
             self.log(f"after {self.last_number}: {problem}")
-            self.end(key)
+            self.close_connection(key)
 
-    def _take(self, lines: Sequence[bytes]) -> None:
-        """Changes of the list that follow one another count as one: after an outage, or in a release of
-        hundreds of servers, each would cost a look at all servers. Raises DiscoveryStreamError after what was
-        good."""
+    def _apply_lines(self, lines: Sequence[bytes]) -> None:
+        """Applies consecutive changes of the list as one: after an outage, or in a release of hundreds of
+        servers, each would cost a pass over all servers. Raises DiscoveryStreamError after applying the lines
+        before the one at fault."""
         changes: list[Member] = []
         try:
             for line in lines:
-                found = self.events.read(line)
-                if isinstance(found, MembershipUpdate) and not found.full:
-                    for stamp in timestamps_of(found):
-                        self.facade.platform.observe_event(stamp)
-                    changes += found.members
-                elif found is not None:
-                    self._roster(False, changes)
+                event = self.events.read(line)
+                if isinstance(event, MembershipUpdate) and not event.full:
+                    for timestamp in timestamps_of(event):
+                        self.facade.platform.observe_event(timestamp)
+                    changes += event.members
+                elif event is not None:
+                    self._update_members(False, changes)
                     changes.clear()
-                    self.apply(found)
+                    self.apply(event)
         finally:
-            self._roster(False, changes)
+            self._update_members(False, changes)
 
-    def _spoke(self, key: int) -> None:
-        silent, self.heard = self.last_read - self.heard, self.last_read
-        self.schedule.spoke(self.last_read, key)
-        if silent > SILENCE_TIMEOUT_S:
-            self.log(f"heard again after {silent:.1f} s, from {self.last_number} on")
+    def _note_received(self, key: int) -> None:
+        silent_s, self.last_received = self.last_read - self.last_received, self.last_read
+        self.schedule.received(self.last_read, key)
+        if silent_s > SILENCE_TIMEOUT_S:
+            self.log(f"heard again after {silent_s:.1f} s, from {self.last_number} on")
         if len(self.connections) > 1:
             self.changed.set()
--- a/onyxpulley/discovery_events.py
+++ b/onyxpulley/discovery_events.py
@@ -1,4 +1,4 @@
-"""What the bulletin's lines mean, and when to call it again: decisions alone, without a socket or a clock."""
+"""Events of discovery and the schedule of its connections: decisions only, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -12,31 +12,34 @@
 from onyxpulley import fields
 from onyxpulley.facade import STATES, Member
 
-UID = re.compile(r"[!-+\--~]{1,128}")
+SERVER_ID = re.compile(r"[!-+\--~]{1,128}")  # what the line protocol can carry: no space, no comma
 PARSE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
-SILENCE_TIMEOUT_S = (
-    2.2  # seconds without a word: two numbers were missed, and another call is made beside that one
-)
-SILENCE_JITTER_S = 0.3  # seconds by which that varies: all routers hear the same silence
-DEAD_TIMEOUT_S = 3.5  # seconds without a word: the call is over
-PAUSE = 0.1, 0.5  # first and longest mean wait between two calls: what was told meanwhile counts already
-MAX_BAD_LINES = 8  # bad lines in a row that are passed over: a call that brings nothing else is of no use
-MAX_CONNECTIONS = 4  # at a time: one may hang while the next ones are begun
-CONNECT_TIMEOUT_S = MAX_CONNECTIONS * PAUSE[1]  # seconds until it is up, and until its first word
+SILENCE_TIMEOUT_S = 2.2  # two of the numbers sent each second were missed: another connection is opened
+SILENCE_JITTER_S = 0.3  # added at random, because all routers see the same silence
+DEAD_TIMEOUT_S = 3.5  # silence after which a connection is closed
+MIN_RECONNECT_DELAY_S = 0.1  # mean delay between the first two connection attempts, then doubled
+MAX_RECONNECT_DELAY_S = 0.5  # the events of the meantime count already, so the delay stays short
+MAX_BAD_LINES = 8  # malformed lines skipped in a row: a connection that brings nothing else is closed
+MAX_CONNECTIONS = 4  # at a time: one may hang while the next ones are opened
+CONNECT_TIMEOUT_S = MAX_CONNECTIONS * MAX_RECONNECT_DELAY_S  # until connected, and then until the first bytes
 
 
 class DiscoveryStreamError(Exception):
-    """The connection is of no more use: it is asked again for all after the last good event."""
+    """The connection is to be closed. The next one asks for all events after the last one that was taken."""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
+    """Changes of the list of servers, or the full list."""
+
     full: bool
     members: Sequence[Member]
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
+    """A purge of an object or of a group."""
+
     item: str | None
     group: int | None
     issued_ms: int  # Unix ms
@@ -46,24 +49,25 @@
 
 
 def timestamps_of(found: Event | None) -> list[int]:
-    """The platform's times (Unix ms) in an event: none of them is in its future."""
+    """The platform's timestamps (Unix ms) in an event. None of them is in the platform's future."""
     if isinstance(found, Purge):
         return [found.issued_ms]
-    return [m.boot_ms for m in found.members if m.boot_ms] if found is not None else []
+    return [member.boot_ms for member in found.members if member.boot_ms] if found is not None else []
 
 
 def parse_member(row: dict[str, Any]) -> Member:
+    """One entry of the list of servers. Raises one of `PARSE_ERRORS`."""
     if row["state"] not in STATES:
         raise ValueError(f"unknown state {str(row['state'])[:40]!r}")
     endpoint, weight = str(row["endpoint"]), float(row.get("capacity_hint") or 1.0)
     host, _, port = endpoint.rpartition(":")
     if not host:
-        raise ValueError("endpoint without a host")
+        raise ValueError(f"endpoint without a host: {endpoint[:40]!r}")
     fields.number(port, 1, 65535)
-    if not UID.fullmatch(str(row["uid"])):
-        raise ValueError("an id that no wire can carry")
+    if not SERVER_ID.fullmatch(str(row["uid"])):
+        raise ValueError(f"invalid server id: {str(row['uid'])[:40]!r}")
     if not math.isfinite(weight):
-        raise ValueError("capacity_hint is no number")
+        raise ValueError(f"capacity_hint is not a finite number: {weight}")
     return Member(
         uid=str(row["uid"]),
         endpoint=endpoint,
@@ -77,156 +81,180 @@
 
 
 def parse_event(row: dict[str, Any]) -> Event | None:
-    """An event in full, or one of `PARSE_ERRORS`. None: of a kind that says nothing to this program."""
+    """The event of one line, or None for a kind that this program does not use. Raises one of
+    `PARSE_ERRORS`."""
     if "roster" in row:
         roster = row["roster"]
         return MembershipUpdate(bool(roster.get("all", False)), [parse_member(r) for r in roster["targets"]])
     if "recall" in row:
         recall = row["recall"]
-        item, lot, issued = recall.get("item"), recall.get("lot"), int(recall["issued"])
-        if item is None and lot is None:
-            raise ValueError("a recall of nothing")
-        return Purge(None if item is None else str(item), None if lot is None else int(lot), issued)
+        item, group, issued_ms = recall.get("item"), recall.get("lot"), int(recall["issued"])
+        if item is None and group is None:
+            raise ValueError("recall without an item or a lot")
+        return Purge(None if item is None else str(item), None if group is None else int(group), issued_ms)
     return None
 
 
 class EventReader:
-    """Where in the numbered events this router is. A line that cannot be used is asked for once more, since
-    the way may have spoilt it; the second time it is passed over, so that it holds up nothing behind it."""
+    """Reads the numbered events in order, across connections. A malformed line is requested once more, since
+    it may have been damaged in transit. The second time it is skipped, so that it does not block those behind
+    it."""
 
     def __init__(self, log: Callable[[str], object] = lambda text: None) -> None:
-        self.last_number, self.log = 0, log
-        self.doubted = -1  # the number after which a line was refused
-        self.ahead = -1  # the number after which events were missing when the last was named
-        self.skipped = self.noise = 0  # bad lines passed over: in all, and since the last event
+        self.last_number = 0  # of the last event that was taken
+        self.log = log
+        self.requested_after = -1  # the number after which events were last requested again
+        self.missing_after = -1  # the number after which events were missing when the last number was told
+        self.skipped = 0  # malformed lines skipped in all
+        self.bad_lines = 0  # malformed lines skipped since the last event
 
     def read(self, line: bytes) -> Event | None:
-        """The next event; None for what says nothing new. Raises DiscoveryStreamError."""
+        """The next event, or None for a line with nothing new. Raises DiscoveryStreamError."""
         text = line.strip()
         if not text:
             return None
         try:
             row = json.loads(text)
-            bare = isinstance(row, int) or row.keys() == {"no"}
-            no = int(row if isinstance(row, int) else row["no"])
+            number_only = isinstance(row, int) or row.keys() == {"no"}
+            number = int(row if isinstance(row, int) else row["no"])
         except PARSE_ERRORS as problem:
-            self._pass(self.last_number, problem)  # which event it was, or none at all, cannot be told
+            self._skip(self.last_number, problem)  # which event it was, if any, is unknown
             return None
-        if bare:
-            self._last(no)
+        if number_only:
+            self._check_last(number)
             return None
-        if no <= self.last_number:
+        if number <= self.last_number:
             return None
-        if no > self.last_number + 1 and self.doubted != self.last_number:
-            self._doubt(f"event {no} is not the next after {self.last_number}")
+        if number > self.last_number + 1 and self.requested_after != self.last_number:
+            self._request_again(f"event {number} is not the next after {self.last_number}")
         try:
             found = parse_event(row)
         except PARSE_ERRORS as problem:
-            self._pass(no, problem)
-            self.last_number = no
+            self._skip(number, problem)
+            self.last_number = number
             return None
-        self.last_number, self.noise = no, 0
+        self.last_number, self.bad_lines = number, 0
         return found
 
-    def _last(self, no: int) -> None:
-        """The number alone: which event is the last, and never an event itself. It may be ahead of one that
-        is on its way; where the next number finds the same one missing, it is asked for."""
-        if no <= self.last_number:
-            self.ahead = -1
-        elif self.ahead != self.last_number:
-            self.ahead = self.last_number
-        elif self.doubted != self.last_number:
-            self._doubt(f"events after {self.last_number} up to {no} are missing")
-
-    def _doubt(self, why: str) -> None:
-        self.doubted = self.last_number
-        raise DiscoveryStreamError(why[:300])
-
-    def _pass(self, no: int, problem: Exception) -> None:
-        if self.doubted != self.last_number:
-            self._doubt(f"bad line after {self.last_number}: {problem!r}")
-        what = f"event {no}" if no > self.last_number else f"a line after {no}"
-        self.noise += 1
-        if self.noise > MAX_BAD_LINES:
-            self.noise = 0
+    def _check_last(self, number: int) -> None:
+        """Takes a line with the number of the last event, which is never that event itself. It may overtake
+        an event that is on its way; if the same one is missing at the next such line, it is requested
+        again."""
+        if number <= self.last_number:
+            self.missing_after = -1
+        elif self.missing_after != self.last_number:
+            self.missing_after = self.last_number
+        elif self.requested_after != self.last_number:
+            self._request_again(f"events after {self.last_number} up to {number} are missing")
+
+    def _request_again(self, reason: str) -> None:
+        self.requested_after = self.last_number
+        raise DiscoveryStreamError(reason[:300])
+
+    def _skip(self, number: int, problem: Exception) -> None:
+        """Skips a malformed line that was already requested again. Raises DiscoveryStreamError for one that
+        was not, and after too many in a row."""
+        if self.requested_after != self.last_number:
+            self._request_again(f"bad line after {self.last_number}: {problem!r}")
+        what = f"event {number}" if number > self.last_number else f"a line after {number}"
+        self.bad_lines += 1
+        if self.bad_lines > MAX_BAD_LINES:
+            self.bad_lines = 0
             raise DiscoveryStreamError(f"more than {MAX_BAD_LINES} bad lines after {self.last_number}")
-        self.log(f"{what} is passed over, bad again: {problem!r}"[:300])
+        self.log(f"{what} is skipped, malformed again: {problem!r}"[:300])
         self.skipped += 1
 
 
 @dataclass(slots=True)
 class ConnectionState:
-    since: float  # when it was begun, when it came up, or when it last spoke
-    up: bool = False
-    spoke: bool = False
-    trusted: float = 0.0  # until then it needn't say more
+    """What the schedule knows of one connection. Times are in seconds of the monotonic clock."""
+
+    since: float  # when it was started, was connected or last received something
+    connected: bool = False
+    received: bool = False
+    silence_deadline: float = 0.0  # until then it counts as alive without receiving more
 
-    def over(self) -> float:
-        return self.since + (DEAD_TIMEOUT_S if self.spoke else CONNECT_TIMEOUT_S)
+    def deadline(self) -> float:
+        """When it is given up, unless something is received before."""
+        return self.since + (DEAD_TIMEOUT_S if self.received else CONNECT_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    begin: bool  # a call
-    end: Sequence[int]  # these calls
-    wake: float  # seconds until the next step, if nothing happens before
+class ScheduleStep:
+    """What to do now, and when to ask again."""
+
+    connect: bool  # open one connection
+    close: Sequence[int]  # keys of the connections to close
+    wait_s: float  # seconds until the next step, if nothing happens before
 
 
 @dataclass(slots=True)
 class ConnectionSchedule:
-    """When to call, and which calls to end. One that hangs or falls silent is given its time, but another is
-    made beside it meanwhile: what was told while nobody listened may count already. Waits are spread by
-    `luck` in [0, 1), since all routers lose the bulletin in the same moment."""
-
-    luck: Callable[[], float]
-    calls: dict[int, ConnectionState] = field(default_factory=dict)
-    pause: float = PAUSE[0]
-    due: float = 0.0  # no call before then
-    serial: int = 0
-
-    def begun(self, now: float) -> int:
-        self.serial += 1
-        self.calls[self.serial] = ConnectionState(now)
-        self.due = now + self.pause * (0.5 + self.luck())
-        self.pause = min(PAUSE[1], 2 * self.pause)
-        return self.serial
-
-    def up(self, now: float, key: int) -> None:
-        if key in self.calls:
-            call = self.calls[key]
-            call.since, call.up, call.trusted = (
-                now,
-                True,
-                now + SILENCE_TIMEOUT_S + SILENCE_JITTER_S * self.luck(),
+    """Decides when to connect to discovery and which connections to close. One that hangs or falls silent
+    keeps its time, but another one is opened beside it: events count from when they are told, heard or not.
+    Delays are spread by `random` in [0, 1), since all routers lose discovery at the same moment."""
+
+    random: Callable[[], float]
+    connections: dict[int, ConnectionState] = field(default_factory=dict)
+    delay: float = MIN_RECONNECT_DELAY_S  # mean delay until the next connection is opened
+    next_connect: float = 0.0  # no connection is opened before then
+    last_key: int = 0
+
+    def started(self, now: float) -> int:
+        """Notes that a connection is being opened. Returns its key."""
+        self.last_key += 1
+        self.connections[self.last_key] = ConnectionState(now)
+        self.next_connect = now + self.delay * (0.5 + self.random())
+        self.delay = min(MAX_RECONNECT_DELAY_S, 2 * self.delay)
+        return self.last_key
+
+    def connected(self, now: float, key: int) -> None:
+        """Notes that a connection was established."""
+        if key in self.connections:
+            connection = self.connections[key]
+            connection.since, connection.connected = now, True
+            connection.silence_deadline = now + SILENCE_TIMEOUT_S + SILENCE_JITTER_S * self.random()
+
+    def received(self, now: float, key: int) -> None:
+        """Notes that a connection received something."""
+        if key in self.connections:
+            self.connected(now, key)
+            self.connections[key].received = True
+            self.delay = MIN_RECONNECT_DELAY_S
+
+    def closed(self, now: float, key: int) -> None:
+        """Notes that a connection was closed or could not be established."""
+        connection = self.connections.pop(key, None)
+        if connection is not None and connection.received:  # otherwise the delay since its start is enough
+            self.next_connect = max(self.next_connect, now + self.delay * (0.5 + self.random()))
+
+    def reset(self) -> None:
+        """Forgets all connections, as after a change of the address, and connects at once."""
+        self.connections.clear()
+        self.delay, self.next_connect = MIN_RECONNECT_DELAY_S, 0.0
+
+    def step(self, now: float) -> ScheduleStep:
+        """What to do now. Of several live connections, one that received something is kept."""
+        live = [key for key, c in self.connections.items() if c.connected and now < c.silence_deadline]
+        if live:
+            best = max(live, key=lambda key: (self.connections[key].received, self.connections[key].since))
+            others = (
+                [key for key in self.connections if key != best] if self.connections[best].received else []
             )
-
-    def spoke(self, now: float, key: int) -> None:
-        if key in self.calls:
-            self.up(now, key)
-            self.calls[key].spoke = True
-            self.pause = PAUSE[0]
-
-    def ended(self, now: float, key: int) -> None:
-        call = self.calls.pop(key, None)
-        if call is not None and call.spoke:  # else the wait since it was begun is enough
-            self.due = max(self.due, now + self.pause * (0.5 + self.luck()))
-
-    def moved(self) -> None:
-        """To another address: it is called at once."""
-        self.calls.clear()
-        self.pause, self.due = PAUSE[0], 0.0
-
-    def step(self, now: float) -> Step:
-        lively = [k for k, c in self.calls.items() if c.up and now < c.trusted]
-        if lively:
-            best = max(lively, key=lambda k: (self.calls[k].spoke, self.calls[k].since))
-            others = [k for k in self.calls if k != best] if self.calls[best].spoke else []
-            return Step(False, others, max(0.01, self.calls[best].trusted - now))
-        over = [k for k, c in self.calls.items() if now >= c.over()]
-        begin = now >= self.due
-        if (
-            begin and len(self.calls) - len(over) >= MAX_CONNECTIONS
-        ):  # the one that hangs for longest makes way
-            over.append(min((k for k in self.calls if k not in over), key=lambda k: self.calls[k].since))
-        wakes = [self.due, *(c.over() for k, c in self.calls.items() if k not in over)]
-        return Step(begin, over, max(0.01, min((w for w in wakes if w > now), default=now) - now))
+            return ScheduleStep(False, others, max(0.01, self.connections[best].silence_deadline - now))
+        overdue = [key for key, c in self.connections.items() if now >= c.deadline()]
+        connect = now >= self.next_connect
+        if connect and len(self.connections) - len(overdue) >= MAX_CONNECTIONS:  # the oldest makes room
+            overdue.append(
+                min(
+                    (key for key in self.connections if key not in overdue),
+                    key=lambda key: self.connections[key].since,
+                )
+            )
+        times = [
+            self.next_connect,
+            *(c.deadline() for key, c in self.connections.items() if key not in overdue),
+        ]
+        return ScheduleStep(
+            connect, overdue, max(0.01, min((t for t in times if t > now), default=now) - now)
+        )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The bulletin: what its lines mean, when it is called again, and what was told but not read yet."""
+"""Discovery: the events of its lines, when it is connected to, and events that were sent but not read yet."""
 
 from __future__ import annotations
 
@@ -32,8 +32,7 @@
 from onyxpulley.server_streams import PlainServerStream
 from onyxpulley.servers import Servers
 
-from .helpers import World as Decisions
-from .helpers import entries, with_settings
+from .helpers import World, entries, with_settings
 from .player import SETTINGS, Play
 
 LIMITS = limits_of({"memory_mb": 64, "sockets": 256}, {}, 3.0)
@@ -54,7 +53,7 @@
 
 
 # ---- Lines
-BAD_LINES = [
+MALFORMED_LINES = [
     b"no json",
     b'{"no":6,"roster":{"targets":[{"uid":"c1"}]}}',
     line(roster(6, {"c1": "Asleep"})),
@@ -72,255 +71,260 @@
 ]
 
 
-@pytest.mark.parametrize("bad", BAD_LINES)
-def test_a_bad_line_is_asked_for_again_and_then_holds_up_nothing(bad: bytes) -> None:
-    said: list[str] = []
-    ledger = EventReader(said.append)
-    ledger.last_number = 5
+@pytest.mark.parametrize("malformed", MALFORMED_LINES)
+def test_a_malformed_line_is_requested_again_and_then_skipped(malformed: bytes) -> None:
+    log_lines: list[str] = []
+    reader = EventReader(log_lines.append)
+    reader.last_number = 5
     drain = line(roster(7, {"c1": "Terminating"}))
     with pytest.raises(DiscoveryStreamError, match="bad line after 5"):
-        ledger.read(bad)
-    assert ledger.last_number == 5 and not said, "the next call asks for all after the last good one"
-    assert ledger.read(bad) is None, "bad once more: it was bad before it came"
-    assert len(said) == 1 and "passed over" in said[0] and ledger.skipped == 1
-    found = ledger.read(drain)
+        reader.read(malformed)
+    assert reader.last_number == 5 and not log_lines, (
+        "the next connection asks for all events after the last one taken"
+    )
+    assert reader.read(malformed) is None, "malformed again: it was sent like that"
+    assert len(log_lines) == 1 and "is skipped" in log_lines[0] and reader.skipped == 1
+    found = reader.read(drain)
     assert (
         isinstance(found, MembershipUpdate)
         and found.members[0].state == "Terminating"
-        and ledger.last_number == 7
+        and reader.last_number == 7
     )
 
 
-def test_noise_between_the_events_takes_none_of_their_numbers() -> None:
-    ledger = EventReader()
-    ledger.last_number = 5
+def test_noise_between_events_uses_none_of_their_numbers() -> None:
+    reader = EventReader()
+    reader.last_number = 5
     with pytest.raises(DiscoveryStreamError):
-        ledger.read(b"noise")
+        reader.read(b"noise")
     for _ in range(3):
-        assert ledger.read(b"noise") is None and ledger.last_number == 5
-    found = ledger.read(line(roster(6, {"c1": "Terminating"})))
-    assert isinstance(found, MembershipUpdate) and ledger.last_number == 6, "the drain behind the noise"
+        assert reader.read(b"noise") is None and reader.last_number == 5
+    found = reader.read(line(roster(6, {"c1": "Terminating"})))
+    assert isinstance(found, MembershipUpdate) and reader.last_number == 6, "the drain that follows the noise"
     with pytest.raises(DiscoveryStreamError, match="bad line after 6"):
-        ledger.read(b"noise")
+        reader.read(b"noise")
     with pytest.raises(DiscoveryStreamError, match="more than 8 bad lines"):
         for _ in range(100):
-            ledger.read(b"noise")
+            reader.read(b"noise")
 
 
-def test_a_line_that_was_spoilt_on_its_way_is_read_when_it_comes_whole() -> None:
-    ledger = EventReader()
+def test_a_line_damaged_in_transit_is_read_when_it_arrives_intact() -> None:
+    reader = EventReader()
     good = line(roster(1, {"c1": "Ready"}))
     with pytest.raises(DiscoveryStreamError):
-        ledger.read(good[:40])
-    assert isinstance(ledger.read(good), MembershipUpdate) and ledger.skipped == 0
-    with pytest.raises(DiscoveryStreamError):  # the next one has its own second chance
-        ledger.read(b"{")
+        reader.read(good[:40])
+    assert isinstance(reader.read(good), MembershipUpdate) and reader.skipped == 0
+    with pytest.raises(DiscoveryStreamError):  # the next line is requested again in its turn
+        reader.read(b"{")
 
 
 def test_repeated_and_missing_events() -> None:
-    ledger = EventReader()
-    assert ledger.read(b"0") is None and ledger.read(b"") is None and ledger.read(b'{"no":0}') is None
-    assert ledger.read(line(roster(1, {"c1": "Ready"}))) is not None
-    assert ledger.read(line(roster(1, {"c1": "Gone"}))) is None, "written twice counts once"
-    assert ledger.read(b"3") is None, "they may be on their way"
+    reader = EventReader()
+    assert reader.read(b"0") is None and reader.read(b"") is None and reader.read(b'{"no":0}') is None
+    assert reader.read(line(roster(1, {"c1": "Ready"}))) is not None
+    assert reader.read(line(roster(1, {"c1": "Gone"}))) is None, "a repeated number is ignored"
+    assert reader.read(b"3") is None, "the events may be on their way"
     with pytest.raises(DiscoveryStreamError, match="up to 3 are missing"):
-        ledger.read(b"3")
-    assert ledger.read(b"3") is None, "it has not got them: what comes later must be heard"
-    found = ledger.read(line({"no": 4, "recall": {"lot": 17, "issued": 5}}))
-    assert found == Purge(None, 17, 5) and ledger.last_number == 4
+        reader.read(b"3")
+    assert reader.read(b"3") is None, "discovery does not have them: later events must be read all the same"
+    found = reader.read(line({"no": 4, "recall": {"lot": 17, "issued": 5}}))
+    assert found == Purge(None, 17, 5) and reader.last_number == 4
     with pytest.raises(DiscoveryStreamError, match="event 9 is not the next"):
-        ledger.read(line(roster(9, {"c1": "Gone"})))
+        reader.read(line(roster(9, {"c1": "Gone"})))
 
 
 @pytest.mark.parametrize("number", [b'{"no":6}', b"6", b' {"no": 6} '])
-def test_the_number_of_the_last_event_is_not_that_event(number: bytes) -> None:
-    ledger = EventReader()
-    ledger.last_number = 5
-    assert ledger.read(number) is None and ledger.last_number == 5
-    found = ledger.read(line(roster(6, {"c1": "Terminating"})))
+def test_the_number_of_the_last_event_does_not_count_as_that_event(number: bytes) -> None:
+    reader = EventReader()
+    reader.last_number = 5
+    assert reader.read(number) is None and reader.last_number == 5
+    found = reader.read(line(roster(6, {"c1": "Terminating"})))
     assert isinstance(found, MembershipUpdate) and found.members[0].state == "Terminating", (
-        "a drain behind its number"
+        "a drain that follows its number"
     )
-    assert ledger.read(number) is None and ledger.read(line({"no": 7, "weather": {}})) is None
-    assert ledger.last_number == 7, "an event of a kind that says nothing here counts as well"
+    assert reader.read(number) is None and reader.read(line({"no": 7, "weather": {}})) is None
+    assert reader.last_number == 7, "an event of an unknown kind is counted as well"
 
 
-# ---- Calls, in virtual time
-class World:
-    """A bulletin that is down from 10 s on for `length`, in one of the ways. Ticks of 10 ms."""
+# ---- Schedule of the connections, in virtual time
+class Outage:
+    """Simulates connections to a discovery service that is down from 10 s on for `length` seconds, in ticks
+    of 10 ms. `kind`: connections are refused, hang, or are accepted and stay silent."""
 
-    def __init__(self, way: str, length: float, seed: int) -> None:
-        self.way, self.back, self.seed = way, 1000 + round(100 * length), seed
+    def __init__(self, kind: str, length: float, seed: int) -> None:
+        self.kind, self.end_tick, self.seed = kind, 1000 + round(100 * length), seed
 
     def down(self, tick: int) -> bool:
-        return 1000 <= tick < self.back
-
-    def play(self) -> tuple[float, int, int]:
-        """When it is heard again after the outage, how many calls were made in it, how many at a time."""
-        watch, made, most = ConnectionSchedule(random.Random(self.seed).random), 0, 0
-        calls: dict[int, tuple[int, bool]] = {}  # since when; whether it will never speak again
-        for tick in range(self.back + 2000):
+        return 1000 <= tick < self.end_tick
+
+    def simulate(self) -> tuple[float, int, int]:
+        """Seconds from the end of the outage until something is received, connections opened during the
+        outage, and the most at a time."""
+        schedule, opened, most = ConnectionSchedule(random.Random(self.seed).random), 0, 0
+        connections: dict[int, tuple[int, bool]] = {}  # tick of its start; whether it stays silent for good
+        for tick in range(self.end_tick + 2000):
             now = tick / 100
-            for key, (since, dead) in list(calls.items()):
-                if dead and self.way == "refused":
-                    calls.pop(key)
-                    watch.ended(now, key)
-                elif tick == since + 1 and (not dead or self.way == "silent"):
-                    watch.up(now, key)
-                elif not dead and (tick - since) % 100 == 2:  # the number of each second
-                    watch.spoke(now, key)
-                    if tick >= self.back:
-                        return (tick - self.back) / 100, made, most
-            step = watch.step(now)
-            for key in step.end:
-                calls.pop(key)
-                watch.ended(now, key)
-            if step.begin:
-                calls[watch.begun(now)] = (tick, False)
-                made += self.down(tick)
+            for key, (since, dead) in list(connections.items()):
+                if dead and self.kind == "refused":
+                    connections.pop(key)
+                    schedule.closed(now, key)
+                elif tick == since + 1 and (not dead or self.kind == "silent"):
+                    schedule.connected(now, key)
+                elif not dead and (tick - since) % 100 == 2:  # the number that is sent each second
+                    schedule.received(now, key)
+                    if tick >= self.end_tick:
+                        return (tick - self.end_tick) / 100, opened, most
+            step = schedule.step(now)
+            for key in step.close:
+                connections.pop(key)
+                schedule.closed(now, key)
+            if step.connect:
+                connections[schedule.started(now)] = (tick, False)
+                opened += self.down(tick)
             if self.down(tick):
-                calls = {key: (since, True) for key, (since, _) in calls.items()}
-            most = max(most, len(calls))
-        raise AssertionError("never heard again")
+                connections = {key: (since, True) for key, (since, _) in connections.items()}
+            most = max(most, len(connections))
+        raise AssertionError("nothing was received after the outage")
 
 
-@pytest.mark.parametrize(("way", "soon"), [("refused", 0.8), ("hung", 0.8), ("silent", 2.7)])
+@pytest.mark.parametrize(("kind", "max_delay"), [("refused", 0.8), ("hung", 0.8), ("silent", 2.7)])
 @pytest.mark.parametrize("length", [3.0, 8.0, 8.3])
-def test_what_comes_back_is_heard_soon_however_it_was_gone(way: str, soon: float, length: float) -> None:
-    plays = [World(way, length, seed).play() for seed in range(60)]
-    late = [p[0] for p in plays]
-    assert max(late) < soon, "every router, whatever its luck"
-    assert all(made <= 4 + 3 * length for _, made, _ in plays), "and a bounded number of calls"
-    assert max(most for _, _, most in plays) <= MAX_CONNECTIONS
-    assert len(set(late)) > 10, "not all at once"
-
-
-def test_a_silent_call_is_kept_until_another_speaks() -> None:
-    watch = ConnectionSchedule(lambda: 0.5)
-    first = watch.begun(0.0)
-    watch.up(0.01, first)
-    assert not watch.step(1.2).begin, "its first word may take a second"
-    watch.spoke(0.5, first)
-    assert not watch.step(2.8).begin, "one number may be late"
-    step = watch.step(2.9)
-    assert step.begin and not step.end
-    second = watch.begun(2.9)
-    watch.spoke(3.0, first)  # it was only slow
-    assert watch.step(3.0).end == [second]
-    watch.ended(3.0, second)
-    third = watch.begun(6.0)
-    watch.spoke(6.1, third)
-    assert watch.step(6.1).end == [first], "whoever speaks goes on alone"
-    assert watch.step(6.2 + DEAD_TIMEOUT_S).begin
+def test_discovery_is_read_soon_after_any_kind_of_outage(kind: str, max_delay: float, length: float) -> None:
+    outages = [Outage(kind, length, seed).simulate() for seed in range(60)]
+    delays = [delay for delay, _, _ in outages]
+    assert max(delays) < max_delay, "for every seed"
+    assert all(opened <= 4 + 3 * length for _, opened, _ in outages), "with a bounded number of connections"
+    assert max(most for _, _, most in outages) <= MAX_CONNECTIONS
+    assert len(set(delays)) > 10, "not all routers at once"
+
+
+def test_a_silent_connection_is_kept_until_another_receives_something() -> None:
+    schedule = ConnectionSchedule(lambda: 0.5)
+    first = schedule.started(0.0)
+    schedule.connected(0.01, first)
+    assert not schedule.step(1.2).connect, "the first bytes may take a second"
+    schedule.received(0.5, first)
+    assert not schedule.step(2.8).connect, "one of the numbers may be late"
+    step = schedule.step(2.9)
+    assert step.connect and not step.close
+    second = schedule.started(2.9)
+    schedule.received(3.0, first)  # it was only slow, not dead
+    assert schedule.step(3.0).close == [second]
+    schedule.closed(3.0, second)
+    third = schedule.started(6.0)
+    schedule.received(6.1, third)
+    assert schedule.step(6.1).close == [first], "only the one that receives something is kept"
+    assert schedule.step(6.2 + DEAD_TIMEOUT_S).connect
 
 
 # ---- On sockets
-class Rig:
-    """The program's parts round a bulletin on loopback, without its fronts."""
+class Harness:
+    """The program's parts with a discovery service on loopback, without its fronts."""
 
     def __init__(self, port: int) -> None:
         self.facade = Facade(SETTINGS, 1)
         self.servers = Servers(LIMITS)
         self.exchange = Exchange(self.facade, self.servers, LIMITS, Copies(0))
         self.servers.exchange = self.exchange
-        self.bulletin = DiscoveryClient(
+        self.discovery = DiscoveryClient(
             ("127.0.0.1", port), 1, LIMITS.line, self.facade, self.exchange, self.servers
         )
-        self.exchange.read_pending = self.bulletin.read_pending
-        self.bulletin.load_initial(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
+        self.exchange.read_pending = self.discovery.read_pending
+        self.discovery.load_initial(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
 
 
 def request(done: Callable[[Any], None]) -> Request:
     return Request("9b1f03aa5c7e2d41", "page-file", "7f3a9c21e0b4d655", 2**60, done, size_kb=40.0)
 
 
-def test_a_drain_that_waits_unread_counts_at_the_write() -> None:
+def test_an_unread_drain_is_applied_before_a_write() -> None:
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            rig = Rig(listener.getsockname()[1])
-            follow = asyncio.create_task(rig.bulletin.run())
+            harness = Harness(listener.getsockname()[1])
+            follow = asyncio.create_task(harness.discovery.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
             assert await loop.run_in_executor(None, peer.recv, 100) == b"after 1\n"
             peer.sendall(b"1\n")
-            while not any(
-                call.connected and call.received_bytes for call in rig.bulletin.connections.values()
-            ):
+            while not any(c.connected and c.received_bytes for c in harness.discovery.connections.values()):
                 await asyncio.sleep(0.01)
-            rig.exchange.take(request(lambda answer: None))
-            attempt = next(iter(rig.exchange.open.values())).attempts[0]
+            harness.exchange.take(request(lambda answer: None))
+            attempt = next(iter(harness.exchange.open.values())).attempts[0]
             assert attempt.server == "c0" and attempt.source == "p0"
             peer.sendall(line(roster(2, {"p0": "Terminating"})) + b"\n")
-            rig.bulletin.last_read -= 1.0  # as long as the loop had been busy with other work
-            assert not rig.exchange.clear(attempt), "told, whether read or not"
-            assert rig.bulletin.last_number == 2
-            later = next(iter(rig.exchange.open.values())).attempts[-1]
+            harness.discovery.last_read -= 1.0  # as if the loop had been busy with other work
+            assert not harness.exchange.clear(attempt), "it was told, although nobody had read it"
+            assert harness.discovery.last_number == 2
+            later = next(iter(harness.exchange.open.values())).attempts[-1]
             assert later is not attempt and later.source != "p0"
             follow.cancel()
             peer.close()
-            rig.servers.close()
+            harness.servers.close()
             await asyncio.sleep(0)
 
     asyncio.run(play())
 
 
-def test_what_waits_behind_a_slow_write_is_checked_when_its_turn_comes() -> None:
+def test_an_attempt_behind_a_slow_write_is_checked_before_its_own_write() -> None:
     sent: list[bytes] = []
 
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as sock:
-            rig = Rig(9)
-            rig.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Gone")
-            rig.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Ready")
-            for no in range(2):
-                ask = request(lambda answer: None)
-                ask.txn = f"{no:016x}"
-                rig.exchange.take(ask)
-            first, second = (r.attempts[0] for r in rig.exchange.open.values())
-            connection = rig.servers.pools["c0"].connections[0]
+            harness = Harness(9)
+            harness.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Gone")
+            harness.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Ready")
+            for number in range(2):
+                new_request = request(lambda answer: None)
+                new_request.txn = f"{number:016x}"
+                harness.exchange.take(new_request)
+            first, second = (r.attempts[0] for r in harness.exchange.open.values())
+            connection = harness.servers.pools["c0"].connections[0]
             assert list(connection.send_queue) == [first, second]
 
-            class Slow(PlainServerStream):
+            class SlowStream(PlainServerStream):
                 def send_now(self, data: bytes | memoryview) -> int:
                     sent.append(bytes(data))
-                    rig.bulletin.apply(parse_event(roster(2, {"c0": "Terminating"})))
+                    harness.discovery.apply(parse_event(roster(2, {"c0": "Terminating"})))
                     return len(data)
 
-            await connection._write_next(Slow(sock, "server"))
+            await connection._write_next(SlowStream(sock, "server"))
             assert first.written and not second.ended
-            await connection._write_next(Slow(sock, "server"))
+            await connection._write_next(SlowStream(sock, "server"))
             assert not second.written and second.ended
-            rig.servers.close()
+            harness.servers.close()
             await asyncio.sleep(0)
 
     asyncio.run(play())
     assert len(sent) == 1 and b"fetch 0000000000000000 " in sent[0]
 
 
-@pytest.mark.parametrize("speaks", [True, False])
-def test_a_router_is_fit_when_the_news_caught_up_or_after_two_seconds(speaks: bool, tmp_path: Path) -> None:
-    """Its first words bring a drain that `known` had not: fit is said behind it, not before."""
+@pytest.mark.parametrize("sends_lines", [True, False])
+def test_a_router_is_fit_once_discovery_caught_up_or_after_two_seconds(
+    sends_lines: bool, tmp_path: Path
+) -> None:
+    """The first lines of discovery bring a drain that `known` does not have: the router reports that it is
+    fit after it, not before."""
 
-    class Behind(Play):
+    class LateDrain(Play):
         def number(self) -> bytes:
-            if not speaks:
+            if not sends_lines:
                 return b""
             self.rosters = 1
             return json.dumps(self.roster(2, [("c0", "Terminating"), ("p0", "Terminating")])).encode() + b"\n"
 
     async def play() -> None:
-        rig = Behind(tmp_path)
+        play_through = LateDrain(tmp_path)
         began = time.monotonic()
         lines = ["servers c0 c1x p0 o", "c1 > STATUS 8", FIT]
-        if speaks:
+        if sends_lines:
             lines += [
                 f"c1 > ASK 1 {VIDEO}",
                 "c1x < " + SENT,
                 "c1x > 9b1f03aa5c7e2d41 data version=aa 2\\r\\nok",
             ]
             lines += ["c1 < 1 good have=aa ok", "c0 forget"]
-        await rig.run([*lines, "b forget"])
-        assert speaks or time.monotonic() - began >= CONNECT_TIMEOUT_S, "it waited for what may come"
+        await play_through.run([*lines, "b forget"])
+        assert sends_lines or time.monotonic() - began >= CONNECT_TIMEOUT_S, "it waited for the first lines"
 
     asyncio.run(play())
 
@@ -334,46 +338,46 @@
 
 
 @pytest.mark.parametrize("servers", [9, 200, 1100])
-def test_the_ranks_of_many_servers_stay_within_their_share_of_the_memory(servers: int) -> None:
-    """An entry refers to every server of its role, so there are the fewer of them."""
-    world = Decisions(with_settings(memo=500), entries(caches=servers))
-    for no in range(600):
-        world.router.ranked("cache", f"x{no}")
+def test_the_ranks_of_many_servers_stay_within_their_share_of_memory(servers: int) -> None:
+    """An entry refers to every server of its role, so more servers mean fewer entries."""
+    world = World(with_settings(memo=500), entries(caches=servers))
+    for number in range(600):
+        world.router.ranked("cache", f"x{number}")
     ranks = world.router.ranks
     assert sum(8 * len(row) for row in ranks.values()) <= 500 * ENTRY
-    assert len(ranks) >= 40, "and still enough to be of use"
+    assert len(ranks) >= 40, "enough to be of use"
     world.router.configure(with_settings(memo=100))
     world.router.ranked("cache", "x0")
     assert not len(ranks) > 1 and ranks.most <= 100
 
 
-LONG = "s" * 124
+LONG_ID = "s" * 124
 
 
 def fleet(first: int, state: str, count: int = 1024) -> dict[str, str]:
-    return {f"c{LONG}{n:03x}": state for n in range(first, first + count)}
+    return {f"c{LONG_ID}{n:03x}": state for n in range(first, first + count)}
 
 
 def test_lists_of_more_than_a_thousand_servers_with_the_longest_ids() -> None:
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            rig = Rig(listener.getsockname()[1])
-            rig.bulletin.load_initial(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
-            assert len(rig.servers.pools) == 1025 and rig.facade.listed()[0] == 1025
-            follow = asyncio.create_task(rig.bulletin.run())
+            harness = Harness(listener.getsockname()[1])
+            harness.discovery.load_initial(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
+            assert len(harness.servers.pools) == 1025 and harness.facade.listed()[0] == 1025
+            follow = asyncio.create_task(harness.discovery.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
-            whole = line(roster(3, {**fleet(1024, "Ready", 1100), "o": "Ready"}, full=True)) + b"\n"
+            full_list = line(roster(3, {**fleet(1024, "Ready", 1100), "o": "Ready"}, full=True)) + b"\n"
             parts = [roster(4 + n, {uid: "Terminating"}) for n, uid in enumerate(fleet(1024, "", 1100))]
             changes = b"".join(line(row) + b"\n" for row in parts)
-            assert len(whole) <= LIMITS.line
-            await loop.run_in_executor(None, peer.sendall, whole + changes)
+            assert len(full_list) <= LIMITS.line
+            await loop.run_in_executor(None, peer.sendall, full_list + changes)
             async with asyncio.timeout(20):
-                while rig.bulletin.last_number < 3 + 1100:
+                while harness.discovery.last_number < 3 + 1100:
                     await asyncio.sleep(0.01)
-            router = rig.facade.router
+            router = harness.facade.router
             states = [s.state.name for uid, s in router.servers.items() if uid != "o"]
-            assert states == ["DRAINING"] * 1100 and len(rig.servers.pools) == 1101
+            assert states == ["DRAINING"] * 1100 and len(harness.servers.pools) == 1101
             follow.cancel()
             peer.close()
             await asyncio.sleep(0)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Calls on one socket that fail: made again, and given up when they never go through."""
+"""Calls that fail on a socket: retried, and given up if they keep failing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FailingSocket:
-    """A socket whose `send` fails so many times first; -1: always."""
+    """A socket whose first `failures` calls of `send` fail (-1: all); later ones send at most 3 bytes."""
 
     def __init__(self, sock: socket.socket, failures: int) -> None:
         self.sock, self.failures = sock, failures
@@ -37,8 +37,8 @@
     return stream, far
 
 
-# Guards against bytes that are lost or sent twice between a short write and an error.
-def test_a_write_goes_on_where_it_stopped() -> None:
+# Guards against bytes that are lost or sent twice when a short write is followed by an error.
+def test_a_write_continues_where_it_stopped() -> None:
     async def play() -> bytes:
         stream, far = stream_over(5)
         await stream.send_all(b"0123456789")
@@ -48,8 +48,8 @@
     assert asyncio.run(play()) == b"0123456789"
 
 
-# Guards against a connection that is kept for ever although no call on it goes through.
-def test_a_connection_on_which_nothing_goes_through_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+# Guards against a connection that is kept for good although every call on it fails.
+def test_a_connection_whose_calls_keep_failing_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(streams, "MAX_FAILING_US", 50_000)
 
     async def play() -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, on the real process: every request that was taken gets its answer."""
+"""System calls that fail for a moment, on the real process: every accepted request gets its answer."""
 
 from __future__ import annotations
 
@@ -23,18 +23,20 @@
 from soak.traffic import TrafficShape
 
 SEED = 20261203
-BURST, PAUSE, BURSTS = 0.4, 0.3, 5  # seconds that a call fails, seconds between, and how often
-LEAST_SERVED = 0.5  # share of the requests that are answered well, the least that the operators' gate wants
+BURST_S = 0.4  # how long calls fail at a time
+PAUSE_S = 0.3  # between two bursts
+BURSTS = 5
+MIN_SERVED_SHARE = 0.5  # of the requests, as the operators' gate demands
 
-Trouble = Callable[[Stage, int], None]
+Disturbance = Callable[[Stage, int], None]
 
 
-def quiet(stage: Stage, burst: int) -> None:
-    """No trouble beside the failing calls."""
+def no_disturbance(stage: Stage, burst: int) -> None:
+    """Does nothing: the calls fail without any other disturbance."""
 
 
-def much_to_log(stage: Stage, burst: int) -> None:
-    """Requests of an unknown class on connections with others open, a new configuration, failing servers."""
+def cause_log_lines(stage: Stage, burst: int) -> None:
+    """Causes many log lines: requests of an unknown class beside open ones, reloads and failing servers."""
     for number, server in enumerate(stage.servers.values()):
         server.mode = Mode.FAILING if number % 3 == burst % 3 and server.uid != "o" else Mode.SERVING
     for traffic in stage.traffic.values():
@@ -45,43 +47,47 @@
             stage.background(connection.send(record))
 
 
-def resetting_servers(stage: Stage, burst: int) -> None:
-    """Every connection to a server is reset under what is open on it, and has to be made anew."""
+def reset_server_connections(stage: Stage, burst: int) -> None:
+    """Resets every connection to a server while requests are open on it, so that new ones are made."""
     for server in stage.servers.values():
         server.reset_all()
 
 
-def new_clients(stage: Stage, burst: int) -> None:
-    """Half of the clients go and come back on new connections."""
+def reconnect_clients(stage: Stage, burst: int) -> None:
+    """Closes the connections of half of the clients, which then connect again."""
     for traffic in stage.traffic.values():
         for connection in traffic.connections[::2]:
             connection.leave()
 
 
-async def run(stage: Stage, faults: list[Fault], trouble: Trouble) -> list[Violation]:
-    """Raises AssertionError where a fault never struck: such a run would show nothing."""
+async def run(stage: Stage, faults: list[Fault], disturbance: Disturbance) -> list[Violation]:
+    """Sets the faults in bursts under traffic and returns the violated rules. Raises AssertionError if a
+    fault never hit a call: such a run would show nothing."""
     stage.start_traffic()
-    struck: Counter[Call] = Counter()
+    hits: Counter[Call] = Counter()
     await asyncio.sleep(0.5)
     for burst in range(BURSTS):
         for shim in stage.shims.values():
             for fault in faults:
                 shim.set(fault)
-        trouble(stage, burst)
-        await asyncio.sleep(BURST)
+        disturbance(stage, burst)
+        await asyncio.sleep(BURST_S)
         for shim in stage.shims.values():
             for fault in faults:
-                struck[fault.call] += shim.clear(fault.call)
-        await asyncio.sleep(PAUSE)
+                hits[fault.call] += shim.clear(fault.call)
+        await asyncio.sleep(PAUSE_S)
     for server in stage.servers.values():
         server.mode = Mode.SERVING
     await stage.settle()
-    assert all(struck[fault.call] for fault in faults), struck
+    assert all(hits[fault.call] for fault in faults), hits
     return stage.verdict()
 
 
-def play(folder: Path, faults: list[Fault], trouble: Trouble = quiet, client_side: bool = False) -> None:
-    """Bursts of failing calls at two routers under traffic; no rule may be broken and service goes on."""
+def play(
+    folder: Path, faults: list[Fault], disturbance: Disturbance = no_disturbance, client_side: bool = False
+) -> None:
+    """Lets calls fail in bursts at two routers under traffic: no rule may be violated, and enough requests
+    are served. `client_side`: only the calls on connections of clients, at one router."""
 
     async def main() -> None:
         setup = StageSetup(shape=TrafficShape(rate=80.0), routers=2)
@@ -89,74 +95,75 @@
             port = stage.routers["n0"].setup.port if client_side else 0
             if client_side:
                 del stage.shims["n1"]
-            placed = [Fault(f.call, f.error, f.every, f.count, port, f.longest) for f in faults]
-            broken = await run(stage, placed, trouble)
-            assert not broken, "\n".join(map(str, broken[:5]))
+            port_faults = [Fault(f.call, f.error, f.every, f.count, port, f.longest) for f in faults]
+            violations = await run(stage, port_faults, disturbance)
+            assert not violations, "\n".join(map(str, violations[:5]))
             records = [r for r in stage.evidence.requests.values() if r.replies]
             served = sum(r.replies[0].word == "good" for r in records)
-            assert served >= LEAST_SERVED * len(records) > 100
+            assert served >= MIN_SERVED_SHARE * len(records) > 100
 
     asyncio.run(main())
 
 
-# Guards against client connections closed under open requests because no socket to a server could be made.
+# Guards against closing client connections with open requests because no socket to a server could be made.
 def test_no_request_is_lost_while_no_socket_can_be_made(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.SOCKET, errno.ENFILE)], resetting_servers)
+    play(tmp_path, [Fault(Call.SOCKET, errno.ENFILE)], reset_server_connections)
 
 
-# The same where the network has no buffers, and the options of a new socket cannot be set either.
+# The same fault when the options of a new socket cannot be set for lack of buffers.
 def test_no_request_is_lost_while_socket_options_fail(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.SETSOCKOPT, errno.ENOBUFS)], resetting_servers)
+    play(tmp_path, [Fault(Call.SETSOCKOPT, errno.ENOBUFS)], reset_server_connections)
 
 
-# The same for clients that connect just then: their first request is on its way already.
+# The same fault on connections of new clients, whose first request is on its way already.
 def test_no_request_is_lost_while_options_of_new_clients_fail(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.SETSOCKOPT, errno.ENOBUFS)], new_clients)
+    play(tmp_path, [Fault(Call.SETSOCKOPT, errno.ENOBUFS)], reconnect_clients)
 
 
-# Guards against closing a client's connection, with all that is open on it, for one failed read.
+# Guards against closing a client's connection, with all its open requests, after one failed read.
 def test_no_request_is_lost_while_reads_from_clients_fail(tmp_path: Path) -> None:
     play(tmp_path, [Fault(Call.RECV, errno.ENOBUFS, every=3)], client_side=True)
 
 
-# Guards against attempts for clients that left, and deadlines that have shrunk, while nothing can be read.
+# Guards against attempts for clients that have left, or past a deadline that ran out while the request was
+# still unread, because no client could be read.
 def test_no_request_is_forwarded_late_while_no_client_can_be_read(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.RECV, errno.ENOMEM)], new_clients, client_side=True)
+    play(tmp_path, [Fault(Call.RECV, errno.ENOMEM)], reconnect_clients, client_side=True)
 
 
-# The same for requests that wait on connections which cannot be accepted.
+# The same for requests on connections that cannot be accepted.
 def test_no_request_is_forwarded_late_while_nothing_can_be_accepted(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.ACCEPT, errno.ENFILE)], new_clients, client_side=True)
+    play(tmp_path, [Fault(Call.ACCEPT, errno.ENFILE)], reconnect_clients, client_side=True)
 
 
-# Guards against closing a client's connection for one failed write, also between the parts of a large answer.
+# Guards against closing a client's connection after one failed write, also in the middle of a large answer.
 def test_no_request_is_lost_while_writes_to_clients_fail(tmp_path: Path) -> None:
     play(tmp_path, [Fault(Call.SEND, errno.ENOBUFS, every=2)], client_side=True)
 
 
-# Guards against answers that are cut or sent twice where reads and writes move a few bytes at a time.
-def test_no_answer_is_spoilt_by_short_reads_and_writes(tmp_path: Path) -> None:
-    short = [Fault(Call.RECV, 0, every=2, longest=7), Fault(Call.SEND, 0, every=2, longest=301)]
-    play(tmp_path, short)
+# Guards against answers that are cut or sent twice when reads and writes move only a few bytes at a time.
+def test_no_answer_is_damaged_by_short_reads_and_writes(tmp_path: Path) -> None:
+    faults = [Fault(Call.RECV, 0, every=2, longest=7), Fault(Call.SEND, 0, every=2, longest=301)]
+    play(tmp_path, faults)
 
 
-# Guards against work that is dropped because a line of the log could not be written.
+# Guards against work that is dropped because a log line could not be written.
 def test_no_request_is_lost_while_the_log_cannot_be_written(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.LOG_WRITE, errno.ENOSPC)], much_to_log)
+    play(tmp_path, [Fault(Call.LOG_WRITE, errno.ENOSPC)], cause_log_lines)
 
 
 # Guards against attempts that are never finished because the close of their connection failed.
 def test_no_request_is_lost_while_closing_fails(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.CLOSE, errno.EIO)], resetting_servers)
+    play(tmp_path, [Fault(Call.CLOSE, errno.EIO)], reset_server_connections)
 
 
 # Guards against new connections that are closed or left waiting because accepting one of them failed.
 def test_no_request_is_lost_while_accepting_fails(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.ACCEPT, errno.ECONNABORTED, every=2)], new_clients)
+    play(tmp_path, [Fault(Call.ACCEPT, errno.ECONNABORTED, every=2)], reconnect_clients)
 
 
-# Guards against requests reset in the queue of new connections, because one accept at the end failed.
-def test_no_request_is_lost_while_accepting_fails_at_the_end(tmp_path: Path) -> None:
+# Guards against resetting requests in the accept queue because one accept failed during the shutdown.
+def test_no_request_is_lost_while_accepting_fails_during_shutdown(tmp_path: Path) -> None:
     async def main() -> None:
         setup = StageSetup(shape=TrafficShape(rate=80.0, connections=16), routers=1)
         async with Stage(tmp_path, SEED, setup) as stage:
@@ -168,30 +175,30 @@
                 restart = asyncio.create_task(stage.restart("n0"))
                 for _ in range(4):
                     await asyncio.sleep(0.08)
-                    new_clients(stage, 0)
+                    reconnect_clients(stage, 0)
                 await asyncio.sleep(1.0)
                 assert shim.clear(Call.ACCEPT)
                 await restart
             await stage.settle()
-            broken = stage.verdict()
-            assert not broken, "\n".join(map(str, broken[:5]))
+            violations = stage.verdict()
+            assert not violations, "\n".join(map(str, violations[:5]))
 
     asyncio.run(main())
 
 
-# Guards against sound connections to servers that end, and jobs that fail, for one failed call.
+# Guards against closing working connections to servers, and failing jobs, after one failed call.
 def test_no_request_is_lost_while_calls_to_servers_fail(tmp_path: Path) -> None:
-    moment = [Fault(Call.RECV, errno.ENOMEM, every=5), Fault(Call.SEND, errno.EHOSTUNREACH, every=5)]
-    play(tmp_path, moment)
+    faults = [Fault(Call.RECV, errno.ENOMEM, every=5), Fault(Call.SEND, errno.EHOSTUNREACH, every=5)]
+    play(tmp_path, faults)
 
 
-# Guards against servers taken for dead because this machine had no address or route for a moment.
+# Guards against treating servers as dead because this machine had no local address for a moment.
 def test_no_request_is_lost_while_connecting_fails(tmp_path: Path) -> None:
-    play(tmp_path, [Fault(Call.CONNECT, errno.EADDRNOTAVAIL)], resetting_servers)
+    play(tmp_path, [Fault(Call.CONNECT, errno.EADDRNOTAVAIL)], reset_server_connections)
 
 
-# Guards against a new configuration that is dropped because its file could not be read for a moment.
-def test_a_new_configuration_counts_although_its_file_cannot_be_read_at_first(tmp_path: Path) -> None:
+# Guards against dropping a new configuration because its file could not be read for a moment.
+def test_a_new_configuration_is_applied_although_its_file_cannot_be_read_at_first(tmp_path: Path) -> None:
     async def main() -> None:
         async with Stage(tmp_path, SEED, StageSetup(routers=1)) as stage:
             router, shim = stage.routers["n0"], stage.shims["n0"]
@@ -205,7 +212,7 @@
     asyncio.run(main())
 
 
-# Guards against a router that ends at its start because no socket could be made just then.
+# Guards against a router that exits at its start because no socket could be made just then.
 def test_a_router_starts_although_no_socket_can_be_made_at_first(tmp_path: Path) -> None:
     async def main() -> None:
         async with Stage(tmp_path, SEED, StageSetup(routers=1)) as stage:
@@ -221,7 +228,7 @@
     asyncio.run(main())
 
 
-# Guards against requests that come in the last moments before the end, where deadlines are short.
+# Guards against losing requests that arrive in the last moments before the exit, where deadlines are short.
 def test_clients_that_send_until_the_kill_lose_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         shape = TrafficShape(rate=200.0, connections=3, cancels=0.0, leaves=0.0)
@@ -232,15 +239,15 @@
                 await asyncio.sleep(0.4)
                 assert await stage.restart("n0") < stage.earliest_kill()
             await stage.settle()
-            broken = stage.verdict()
-            assert not broken, "\n".join(map(str, broken[:5]))
+            violations = stage.verdict()
+            assert not violations, "\n".join(map(str, violations[:5]))
 
     asyncio.run(main())
 
 
-# Guards against a death by SIGTERM or SIGHUP that come in series, up to the last moment of the process.
+# Guards against a process killed by repeated SIGTERM or SIGHUP, up to its last moment.
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_signals_in_series_change_nothing_of_a_clean_end(number: signal.Signals, tmp_path: Path) -> None:
+def test_repeated_signals_do_not_disturb_a_clean_exit(number: signal.Signals, tmp_path: Path) -> None:
     async def main() -> None:
         async with Stage(tmp_path, SEED, StageSetup(routers=1)) as stage:
             router = stage.routers["n0"]
@@ -255,7 +262,7 @@
     asyncio.run(main())
 
 
-# Guards against records that are lost, and a recorder that ends, because the disk was full for a moment.
+# Guards against losing records, or a recorder that stops, because the disk was full for a moment.
 @pytest.mark.parametrize("call", [Call.FILE_WRITE, Call.CREATE])
 def test_no_record_is_lost_while_the_disk_is_full(call: Call, tmp_path: Path) -> None:
     operator, folder = tmp_path / "operator.toml", tmp_path / "records"
@@ -265,13 +272,13 @@
         environment = {"ONYXPULLEY_OPERATOR": str(operator)}
         async with Stage(tmp_path, SEED, StageSetup(routers=1, extra_environment=environment)) as stage:
             stage.start_traffic()
-            shim, struck = stage.shims["n0"], 0
+            shim, hits = stage.shims["n0"], 0
             for _ in range(3):
                 await asyncio.sleep(1.2)
                 shim.set(Fault(call, errno.ENOSPC))
                 await asyncio.sleep(3.0)
-                struck += shim.clear(call)
-            assert struck
+                hits += shim.clear(call)
+            assert hits
             await asyncio.sleep(1.5)
             await stage.settle()
             router = stage.routers["n0"]
