--- a/onyxpulley/discovery_events.py
+++ b/onyxpulley/discovery_events.py
@@ -245,16 +245,8 @@
         overdue = [key for key, c in self.connections.items() if now >= c.deadline()]
         connect = now >= self.next_connect
         if connect and len(self.connections) - len(overdue) >= MAX_CONNECTIONS:  # the oldest makes room
-            overdue.append(
-                min(
-                    (key for key in self.connections if key not in overdue),
-                    key=lambda key: self.connections[key].since,
-                )
-            )
-        times = [
-            self.next_connect,
-            *(c.deadline() for key, c in self.connections.items() if key not in overdue),
-        ]
-        return ScheduleStep(
-            connect, overdue, max(0.01, min((t for t in times if t > now), default=now) - now)
-        )
+            rest = [key for key in self.connections if key not in overdue]
+            overdue.append(min(rest, key=lambda key: self.connections[key].since))
+        deadlines = [c.deadline() for key, c in self.connections.items() if key not in overdue]
+        next_time = min((time for time in (self.next_connect, *deadlines) if time > now), default=now)
+        return ScheduleStep(connect, overdue, max(0.01, next_time - now))
--- a/onyxpulley/streams.py
+++ b/onyxpulley/streams.py
@@ -15,9 +15,7 @@
 
 Data = bytes | memoryview
 MAX_SENDS_PER_TURN = 16  # before other tasks run, where each call takes few bytes
-MAX_FAILING_US = (
-    10_000_000  # a connection on which calls fail for longer is given up; no deadline lasts so long
-)
+MAX_FAILING_US = 10_000_000  # a connection is given up when its calls fail for longer; exceeds any deadline
 PEER_UNSEEN_US = 50_000  # half of the time after a client has left in which an attempt may still start
 
 
