--- a/onyxpulley/discovery.py
+++ b/onyxpulley/discovery.py
@@ -14,6 +14,7 @@
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import monotonic
 from onyxpulley.core import Exchange
+from onyxpulley.decision_adapter import DecisionAdapter, Member
 from onyxpulley.discovery_events import (
     CONNECT_TIMEOUT_S,
     SILENCE_TIMEOUT_S,
@@ -26,7 +27,6 @@
     parse_event,
     timestamps_of,
 )
-from onyxpulley.facade import Facade, Member
 from onyxpulley.servers import Servers
 from onyxpulley.streams import close_quietly
 
@@ -70,12 +70,12 @@
         lines: list[bytes] = []
         try:
             while True:
-                received = self.sock.recv_into(self.buffer.room())
+                received = self.sock.recv_into(self.buffer.free_space())
                 if not received:
                     return lines or None
                 self.received_bytes += received
                 self.buffer.end += received
-                while (line := self.buffer.line(self.client.max_line_bytes)) is not None:
+                while (line := self.buffer.read_line(self.client.max_line_bytes)) is not None:
                     lines.append(line)
         except BlockingIOError:
             return lines
@@ -105,7 +105,7 @@
         address: tuple[str, int],
         seed: int,
         max_line_bytes: int,
-        facade: Facade,
+        facade: DecisionAdapter,
         exchange: Exchange,
         servers: Servers,
     ) -> None:
@@ -134,7 +134,7 @@
         `PARSE_ERRORS`."""
         events = [parse_event(row) for row in rows]
         for timestamp in (timestamp for event in events for timestamp in timestamps_of(event)):
-            self.facade.platform.observe_initial(timestamp)
+            self.facade.platform_clock.observe_initial(timestamp)
         for event in events:
             self.apply(event, live=False)
         self.events.last_number = number
@@ -142,13 +142,13 @@
     def apply(self, event: Event | None, live: bool = True) -> None:
         """Applies an event; `live` if discovery told it just now."""
         for timestamp in timestamps_of(event) if live else ():
-            self.facade.platform.observe_event(timestamp)
+            self.facade.platform_clock.observe_event(timestamp)
         if isinstance(event, MembershipUpdate):
             self._update_members(event.full, event.members)
         elif isinstance(event, Purge):
             self.on_purge(event.item, event.group, event.issued_ms)
             self.exchange.copies.purge(event.item, event.group, event.issued_ms)
-            self.exchange.run(self.facade.purge(event.item, event.group, event.issued_ms, live))
+            self.exchange.execute(self.facade.purge(event.item, event.group, event.issued_ms, live))
 
     def _update_members(self, full: bool, members: Sequence[Member]) -> None:
         if not members and not full:
@@ -160,7 +160,7 @@
                 self.servers.update_server(uid, "", "Gone")
         for member in members:
             self.servers.update_server(member.uid, member.endpoint, member.state)
-        self.exchange.run(self.facade.roster(full, members))
+        self.exchange.execute(self.facade.update_servers(full, members))
 
     # ---- Connections
     def change_address(self, address: tuple[str, int]) -> None:
@@ -254,7 +254,7 @@
                 event = self.events.read(line)
                 if isinstance(event, MembershipUpdate) and not event.full:
                     for timestamp in timestamps_of(event):
-                        self.facade.platform.observe_event(timestamp)
+                        self.facade.platform_clock.observe_event(timestamp)
                     changes += event.members
                 elif event is not None:
                     self._update_members(False, changes)
--- a/onyxpulley/discovery_events.py
+++ b/onyxpulley/discovery_events.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from onyxpulley import fields
-from onyxpulley.facade import STATES, Member
+from onyxpulley.decision_adapter import SERVER_STATES, Member
 
 SERVER_ID = re.compile(r"[!-+\--~]{1,128}")  # what the line protocol can carry: no space, no comma
 PARSE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
@@ -57,13 +57,13 @@
 
 def parse_member(row: dict[str, Any]) -> Member:
     """One entry of the list of servers. Raises one of `PARSE_ERRORS`."""
-    if row["state"] not in STATES:
+    if row["state"] not in SERVER_STATES:
         raise ValueError(f"unknown state {str(row['state'])[:40]!r}")
     endpoint, weight = str(row["endpoint"]), float(row.get("capacity_hint") or 1.0)
     host, _, port = endpoint.rpartition(":")
     if not host:
         raise ValueError(f"endpoint without a host: {endpoint[:40]!r}")
-    fields.number(port, 1, 65535)
+    fields.parse_number(port, 1, 65535)
     if not SERVER_ID.fullmatch(str(row["uid"])):
         raise ValueError(f"invalid server id: {str(row['uid'])[:40]!r}")
     if not math.isfinite(weight):
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -16,15 +16,15 @@
 import uvloop
 
 from onyxpulley import config, logs, metrics
-from onyxpulley.clients import Clients
+from onyxpulley.clients import PlatformFront
 from onyxpulley.clock import monotonic, now_us
-from onyxpulley.console import Console, Figure
-from onyxpulley.copies import Copies
+from onyxpulley.console import Console, Metric
+from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Exchange, Verdict
+from onyxpulley.decision_adapter import DecisionAdapter
 from onyxpulley.discovery import DiscoveryClient
 from onyxpulley.discovery_events import CONNECT_TIMEOUT_S, PARSE_ERRORS
-from onyxpulley.facade import Facade
-from onyxpulley.listeners import FIRST, Listener, make_room
+from onyxpulley.listeners import FIRST_REQUEST_GRACE_US, Listener, evict_one
 from onyxpulley.servers import Servers
 from onyxpulley.streams import SocketStream
 from onyxpulley.system_calls import ErrorKind, classify_error
@@ -34,8 +34,8 @@
 
     from onyxpulley.http import Connection
     from onyxpulley.incident.recorder import Recorder
-    from onyxpulley.operator import Operator
-    from onyxpulley.spiffe.trust import Keeper
+    from onyxpulley.operator_config import OperatorConfig
+    from onyxpulley.spiffe.manager import IdentityManager
 
 LINGER = 0.8  # seconds after SIGTERM or PAUSE in which new connections may still come
 REFUSE = 1.8  # seconds after which clients that still ask on their connection are refused
@@ -60,44 +60,51 @@
 
 
 class Program:
-    def __init__(self, conf: config.Config, operator: Operator | None = None) -> None:
+    def __init__(self, conf: config.Config, operator: OperatorConfig | None = None) -> None:
         self.conf, self.phase, self.operator = conf, Phase.STARTING, operator
         if operator is not None:
-            conf.limits.signature_boxes = operator.boxes
-        self.facade = Facade(conf.settings, conf.seed, conf.transfers, conf.limits.memo)
+            conf.limits.signature_boxes = operator.signature_boxes
+        self.facade = DecisionAdapter(
+            conf.settings, conf.seed, conf.concurrent_transfers, conf.limits.memo_entries
+        )
         self.servers = Servers(conf.limits)
-        self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copies))
+        self.exchange = Exchange(self.facade, self.servers, conf.limits, CopyStore(conf.limits.copy_bytes))
         self.servers.exchange, self.servers.on_copy_timestamp = (
             self.exchange,
-            self.facade.platform.observe_copy,
+            self.facade.platform_clock.observe_copy,
         )
         self.bulletin = DiscoveryClient(
-            conf.bulletin, conf.seed, conf.limits.line, self.facade, self.exchange, self.servers
+            conf.bulletin,
+            conf.seed,
+            conf.limits.bulletin_line_bytes,
+            self.facade,
+            self.exchange,
+            self.servers,
         )
         self.exchange.read_pending = self.bulletin.read_pending
-        self.clients = Clients(self.exchange, self.facade.classes, conf.limits)
+        self.clients = PlatformFront(self.exchange, self.facade.class_names, conf.limits)
         self.term = asyncio.Event()
         self.fronts: list[Front] = []
         self.console = Console(lambda: self.clients.fit, self.figures, self.pause, self.resume)
         self.since = 0.0  # when it began to leave
         self.held = False  # told to pause, maybe while it started
         self.reloads = {"applied": 0, "rejected": 0}
-        self.clients.beside = lambda: sum(len(front.tasks) for front in self.fronts)
-        self.clients.others = lambda: [c for f in self.fronts if f.public for c in f.all]
-        self.keeper: Keeper | None = None  # of identities, where the operator's file has some
+        self.clients.other_connections = lambda: sum(len(front.tasks) for front in self.fronts)
+        self.clients.evictable_elsewhere = lambda: [c for f in self.fronts if f.public for c in f.all]
+        self.keeper: IdentityManager | None = None  # of identities, where the operator's file has some
         self.tasks: list[asyncio.Task[None]] = []
         self.recorder: Recorder | None = None
 
     def enter(self, phase: Phase) -> None:
         self.phase = phase
-        cold = self.facade.settings.cold_time / 1e6 if phase is Phase.STARTING else 0.0
+        cold = self.facade.settings.warm_up_time / 1e6 if phase is Phase.STARTING else 0.0
         self.note("phase", phase.value, cold)
         self.clients.fit = self.fit()
         logs.info(f"{self.conf.name}: {phase.value}")
 
     def fit(self) -> bool:
         """Takes new work: serving, and able to show the servers who it is."""
-        return self.phase is Phase.SERVING and (self.keeper is None or self.keeper.ready())
+        return self.phase is Phase.SERVING and (self.keeper is None or self.keeper.is_ready())
 
     async def run(self) -> int:
         loop = asyncio.get_running_loop()
@@ -118,7 +125,7 @@
         self._recorded()
         self.enter(Phase.STARTING)
         try:
-            self.bulletin.load_initial(self.conf.known_no, self.conf.known)
+            self.bulletin.load_initial(self.conf.known_event_no, self.conf.known_events)
         except PARSE_ERRORS as problem:
             raise config.BadConfig(f"known: bad event: {problem!r}") from problem
         fronts: list[tuple[Listener, tuple[str, int] | None]]
@@ -183,9 +190,9 @@
             new = config.load(os.environ)
             if (new.name, new.listen) != (old.name, old.listen):
                 raise config.BadConfig("name and listen take a restart")
-            self.facade.configure(new.settings, new.transfers, new.limits.memo)
+            self.facade.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
         except config.BadConfig as problem:
-            if isinstance(problem, config.NotReadNow) and tries > 1:
+            if isinstance(problem, config.ConfigTemporarilyUnreadable) and tries > 1:
                 asyncio.get_running_loop().call_later(RELOAD_AGAIN, self.reload, tries - 1)
                 return
             self.reloads["rejected"] += 1
@@ -193,10 +200,10 @@
             logs.info(f"{old.name}: reload: kept the old settings: {problem}")
             return
         new.limits.signature_boxes = old.limits.signature_boxes  # of the operator's file
-        old.limits.take(new.limits)
+        old.limits.update_from(new.limits)
         new.limits, self.conf = old.limits, new
-        self.exchange.copies.shrink(new.limits.copies)
-        self.clients.classes = self.facade.classes
+        self.exchange.copies.resize(new.limits.copy_bytes)
+        self.clients.classes = self.facade.class_names
         self.bulletin.change_address(new.bulletin)
         self.reloads["applied"] += 1
         self.note("reload", "applied")
@@ -221,10 +228,10 @@
             self.enter(Phase.SERVING)
         return "" if self.phase is Phase.SERVING else f"it is {self.phase.value}"
 
-    def figures(self) -> list[Figure]:
-        answers, (known, avoided) = self.exchange.answers, self.facade.listed()
-        rows: list[Figure] = []
-        for cls in sorted({*self.facade.classes, *(cls for cls, _ in answers)}):
+    def figures(self) -> list[Metric]:
+        answers, (known, avoided) = self.exchange.answer_counts, self.facade.server_counts()
+        rows: list[Metric] = []
+        for cls in sorted({*self.facade.class_names, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
             rows += [
                 (f"succeeded.{cls}", answers[cls, Verdict.SERVED], "c"),
@@ -234,7 +241,7 @@
         return [
             *rows,
             ("forwards", self.servers.forwards, "c"),
-            ("outstanding", len(self.exchange.open), "g"),
+            ("outstanding", len(self.exchange.open_requests), "g"),
             ("discovered", known, "g"),
             ("ejected", avoided, "g"),
             ("sighup_applied", self.reloads["applied"], "c"),
@@ -252,40 +259,46 @@
             self.clients.leave()
             for front in self.fronts:
                 front.leave()
-        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain)
+        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain_timeout)
         if past >= SETTLE and self.phase is Phase.PAUSED:
             self.clients.settle()
 
     def quiet(self) -> bool:
-        return self.clients.quiet() and all(c.idle() for f in self.fronts for c in f.all)
+        return self.clients.quiet() and all(c.is_idle() for f in self.fronts for c in f.all)
 
     def _operated(self) -> None:
         """The signed front and the administration API, where the operator's file sets them up."""
         if self.operator is None:
             return
-        from onyxpulley.admin import Admin
-        from onyxpulley.signed import Signed
-        from onyxpulley.spiffe.ids import BadIdentity
+        from onyxpulley.admin import AdminApi
+        from onyxpulley.signed_front import SignedFront
+        from onyxpulley.spiffe.ids import InvalidIdentity
 
         operator = self.operator
         try:
             self._identified(operator)
-            if operator.listen is not None:
-                signed = Signed(
-                    operator.public, operator.tenants, self.exchange, self.facade, bool(operator.boxes)
+            if operator.signed_listen is not None:
+                signed = SignedFront(
+                    operator.public_url,
+                    operator.tenants,
+                    self.exchange,
+                    self.facade,
+                    bool(operator.signature_boxes),
                 )
                 callers = operator.identities.callers if operator.identities is not None else None
                 if callers is not None and self.keeper is not None:
-                    signed.keeper, signed.callers = self.keeper, callers
-                self.fronts.append(Front(operator.listen, signed.connection, self.clients, public=True))
-                signed.fit = lambda: self.clients.fit
-                signed.leaving = lambda: self.clients.leaving
-            if operator.admin is not None and self.keeper is not None:
-                admin = Admin(operator.tenants, self.keeper, operator.allow, self.status)
-                self.fronts.append(Front(operator.admin, admin.connection, self.clients))
+                    signed.identity_manager, signed.allowed_callers = self.keeper, callers
+                self.fronts.append(
+                    Front(operator.signed_listen, signed.open_connection, self.clients, public=True)
+                )
+                signed.is_ready = lambda: self.clients.fit
+                signed.draining = lambda: self.clients.leaving
+            if operator.admin_listen is not None and self.keeper is not None:
+                admin = AdminApi(operator.tenants, self.keeper, operator.admin_roles, self.status)
+                self.fronts.append(Front(operator.admin_listen, admin.open_connection, self.clients))
         except ImportError as problem:
             raise config.BadConfig(missing(problem, "identities")) from problem
-        except (OSError, BadIdentity) as problem:
+        except (OSError, InvalidIdentity) as problem:
             what = "cannot listen" if isinstance(problem, OSError) else "identity"
             raise config.BadConfig(f"operator's file: {what}: {problem}") from problem
 
@@ -310,23 +323,29 @@
 
             self.recorder.tally.event(Kind(kind), cause=cause, value=value)
 
-    def _identified(self, operator: Operator) -> None:
-        """Who this router is and whom it trusts. Raises BadIdentity."""
+    def _identified(self, operator: OperatorConfig) -> None:
+        """Who this router is and whom it trusts. Raises InvalidIdentity."""
         if operator.identities is None:
             return
-        from onyxpulley.spiffe.trust import Keeper
+        from onyxpulley.spiffe.manager import IdentityManager
 
         setup = operator.identities
-        self.keeper = keeper = Keeper(setup)
-        if setup.servers:
+        self.keeper = keeper = IdentityManager(setup)
+        if setup.verify_servers:
             self.servers.transport_security = keeper
-        if setup.agent:
-            from onyxpulley.spiffe.pace import Pace
-            from onyxpulley.spiffe.workload import Agent
+        if setup.agent_address:
+            from onyxpulley.spiffe.backoff import Backoff
+            from onyxpulley.spiffe.workload import WorkloadApiClient
 
             luck = random.Random(self.conf.seed).random
-            keeper.agent = Agent(setup.agent, Pace(luck), keeper.take, keeper.left, keeper.say)
-            self.tasks.append(asyncio.create_task(keeper.agent.follow()))
+            keeper.workload_api = WorkloadApiClient(
+                setup.agent_address,
+                Backoff(luck),
+                keeper.apply_agent_update,
+                keeper.seconds_left,
+                keeper.log_event,
+            )
+            self.tasks.append(asyncio.create_task(keeper.workload_api.follow()))
 
     def status(self) -> dict[str, Any]:
         return {
@@ -334,10 +353,10 @@
             "phase": self.phase.value,
             "bulletin": self.bulletin.last_number,
             "servers": len(self.servers.pools),
-            "open": len(self.exchange.open),
-            "copies": len(self.exchange.copies.all),
+            "open": len(self.exchange.open_requests),
+            "copies": len(self.exchange.copies.entries),
             "answers": {
-                verdict.value: sum(n for (_, v), n in self.exchange.answers.items() if v is verdict)
+                verdict.value: sum(n for (_, v), n in self.exchange.answer_counts.items() if v is verdict)
                 for verdict in Verdict
             },
         }
@@ -374,10 +393,10 @@
         for listener in (self.clients, *self.fronts):
             await listener.stop_listening()
         await asyncio.sleep(SWEEP / 2)  # what was in the queue is read before anyone looks for quiet
-        last_answers = start + self.conf.limits.drain
+        last_answers = start + self.conf.limits.drain_timeout
         while not self.quiet() and monotonic() < last_answers + FLUSH:
             if monotonic() > last_answers:
-                self.exchange.end()
+                self.exchange.finish_all()
             self._retreat()
             await asyncio.sleep(DRAIN_POLL)
 
@@ -393,7 +412,7 @@
         self,
         address: tuple[str, int],
         connect: Callable[[SocketStream], Connection | Awaitable[Connection | None]],
-        clients: Clients,
+        clients: PlatformFront,
         public: bool = False,  # its callers make way for others; the staff's do not
     ) -> None:
         super().__init__()
@@ -404,10 +423,10 @@
 
     def admit(self) -> bool:
         if len(self.tasks) >= HTTP:
-            return make_room(self.all, now_us())
+            return evict_one(self.all, now_us())
         return self.clients.admit()
 
-    def welcome(self, sock: socket.socket) -> None:
+    def add_connection(self, sock: socket.socket) -> None:
         task = asyncio.create_task(self._one(SocketStream(sock, "client", self.failing_since)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -424,12 +443,14 @@
             self.all.discard(connection)
 
     def sweep(self) -> None:
-        for connection in [c for c in self.all if c.overdue()]:
+        for connection in [c for c in self.all if c.is_overdue()]:
             connection.close()
 
     def leave(self) -> None:
-        late = now_us() - FIRST
-        for connection in [c for c in self.all if c.leaving() and c.idle() and (c.spoke or c.used < late)]:
+        late = now_us() - FIRST_REQUEST_GRACE_US
+        for connection in [
+            c for c in self.all if c.draining() and c.is_idle() and (c.had_request or c.last_activity < late)
+        ]:
             connection.close()
 
     def close(self) -> None:
@@ -438,7 +459,7 @@
             connection.close()
 
 
-async def serve(conf: config.Config, operator: Operator | None) -> NoReturn:
+async def serve(conf: config.Config, operator: OperatorConfig | None) -> NoReturn:
     """Ends the process with the program's exit code, while the loop's signal handlers still stand. Behind the
     loop other threads would take a late SIGTERM or SIGHUP and die of it, and nothing is left to be done."""
     os._exit(await Program(conf, operator).run())
@@ -450,7 +471,7 @@
     while True:
         try:
             return config.load(os.environ)
-        except config.NotReadNow:
+        except config.ConfigTemporarilyUnreadable:
             if monotonic() > end:
                 raise
         time.sleep(SWEEP)
@@ -461,7 +482,7 @@
         conf = load_config()
         operator = None
         if os.environ.get("ONYXPULLEY_OPERATOR"):
-            from onyxpulley.operator import load  # the platform's front needs none of it
+            from onyxpulley.operator_config import load  # the platform's front needs none of it
 
             operator = load(Path(os.environ["ONYXPULLEY_OPERATOR"]))
         uvloop.run(serve(conf, operator))
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -11,7 +11,7 @@
 from onyxpulley import fields, logs, metrics
 from onyxpulley.buffers import Buffer
 from onyxpulley.clock import now_us
-from onyxpulley.core import Attempt, Exchange, Outcome, Report
+from onyxpulley.core import Attempt, AttemptResult, Exchange, Outcome
 from onyxpulley.server_streams import PlainTransport, ServerStream, TransportSecurity
 from onyxpulley.streams import close_quietly
 from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
@@ -79,7 +79,7 @@
 
     def oldest_start_us(self) -> int:
         """When the oldest attempt in flight was started. There must be one."""
-        return next(iter(self.in_flight.values())).begun
+        return next(iter(self.in_flight.values())).started_at
 
     def accepts_requests(self) -> bool:
         """False once the identity that the server proved is no longer trusted."""
@@ -99,8 +99,8 @@
     def is_exclusive(self) -> bool:
         """Whether it carries an attempt that must not run twice, which a malformed answer to another request
         must not end."""
-        return any(attempt.once for attempt in self.in_flight.values()) or any(
-            isinstance(entry, Attempt) and entry.once for entry in self.send_queue
+        return any(attempt.at_most_once for attempt in self.in_flight.values()) or any(
+            isinstance(entry, Attempt) and entry.at_most_once for entry in self.send_queue
         )
 
     def abort_in_flight(self, attempt: Attempt) -> None:
@@ -109,7 +109,7 @@
         txn = attempt.request.txn
         del self.in_flight[txn]
         self.aborted_ids.append(txn)
-        silence_us = now_us() - max(self.last_received_us, attempt.begun)
+        silence_us = now_us() - max(self.last_received_us, attempt.started_at)
         silent = silence_us > self.pool.servers.silence_timeout_us()
         self.unresponsive = self.unresponsive or silent
         self.enqueue(b"abort %s\r\n" % txn.encode())
@@ -174,7 +174,7 @@
             self.last_received_us = now_us()
             self.tasks.add(asyncio.create_task(self._write(stream)))
             while True:
-                received = await stream.receive_into(self.buffer.room())
+                received = await stream.receive_into(self.buffer.free_space())
                 if not received:
                     return
                 self.last_received_us = now_us()
@@ -226,7 +226,7 @@
             await stream.wait_writable()
             return
         self.in_flight[attempt.request.txn] = attempt
-        self.pool.exchange.begun(attempt)
+        self.pool.exchange.write_started(attempt)
         await stream.send_all(memoryview(data)[sent:])
         self.pool.servers.forwards += 1
 
@@ -236,30 +236,33 @@
         if not self.accepts_requests():  # the server's identity is no longer trusted: try another connection
             self.pool.retry(attempt, Outcome.BROKEN)
             return b""
-        if not self.pool.exchange.clear(attempt):
+        if not self.pool.exchange.check_before_write(attempt):
             return b""
         request = attempt.request
-        limit = max(1, (attempt.until - now_us()) // 1000)
-        text = f"fetch {request.txn} cls={request.cls},item={request.item},chunk={request.part},limit={limit}"
+        limit = max(1, (attempt.deadline - now_us()) // 1000)
+        text = (
+            f"fetch {request.txn} cls={request.cls},item={request.object_id},"
+            f"chunk={request.part},limit={limit}"
+        )
         if attempt.source is not None:
             text += f",fetch={attempt.source}"
-        if attempt.rank:
-            text += f",retain={attempt.rank}"
-        if attempt.newer:
-            text += f",newer={max(1, attempt.newer // 1000)}"
+        if attempt.retention_rank:
+            text += f",retain={attempt.retention_rank}"
+        if attempt.max_age:
+            text += f",newer={max(1, attempt.max_age // 1000)}"
         options = [
             option
             for option, enabled in (
-                ("wait-for", attempt.join),
-                ("no-fetch", attempt.only_held),
-                ("background", attempt.renew),
+                ("wait-for", attempt.may_join),
+                ("no-fetch", attempt.only_if_cached),
+                ("background", attempt.refresh_in_background),
             )
             if enabled
         ]
         if options:
             text += f",handle={'+'.join(options)}"
-        if request.have:
-            text += f",holds={request.have}"
+        if request.client_tag:
+            text += f",holds={request.client_tag}"
         if request.signature and self.pool.wants_signature:
             text += f",signature={request.signature}"
         return b"%s %d\r\n%s\r\n" % (text.encode(), len(request.body), request.body)
@@ -277,7 +280,7 @@
             body_start = line_end + 2
             if len(words) != 4 or words[1] not in OUTCOMES:
                 raise ValueError(f"not an answer line: {len(words)} words, outcome {words[1:2]}")
-            size = fields.number(words[3], 0, MAX_OBJECT_BYTES)
+            size = fields.parse_number(words[3], 0, MAX_OBJECT_BYTES)
             body_end = body_start + size
             if buffer.end < body_end + 2:
                 return
@@ -293,19 +296,19 @@
         self.last_used_us = now_us()
         if words[0] not in self.in_flight:
             return  # aborted meanwhile, a duplicate, or an unknown id
-        report = Report(OUTCOMES[words[1]], body=body, same=words[1] == "unchanged")
-        row = fields.read(words[2])
+        report = AttemptResult(OUTCOMES[words[1]], body=body, not_modified=words[1] == "unchanged")
+        row = fields.parse(words[2])
         report.tag = row.get("version", "")
         if not (report.tag.isalnum() or not report.tag):
             raise ValueError(f"version of a copy is not alphanumeric: {report.tag[:40]!r}")
         report.note = NOTE_NUMBERS.get(row.get("tell", ""), 0)
         report.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
-        report.stamp = fields.number(row.get("stamp", "0"), 0, 2**53)
-        self.pool.servers.on_copy_timestamp(report.stamp)
+        report.issued_ms = fields.parse_number(row.get("stamp", "0"), 0, 2**53)
+        self.pool.servers.on_copy_timestamp(report.issued_ms)
         if "meter" in row:
             report.load = self.pool.read_load(row["meter"])
         attempt = self.in_flight.pop(words[0])
-        self.pool.servers.record_answer_time(self.last_used_us - attempt.begun)
+        self.pool.servers.record_answer_time(self.last_used_us - attempt.started_at)
         self.pool.exchange.finish(attempt, report)
 
     def close(self, reason: Outcome) -> None:
@@ -335,7 +338,7 @@
         self.in_flight.clear()
         self.send_queue.clear()
         for attempt in in_flight:
-            self.pool.exchange.finish(attempt, Report(reason))
+            self.pool.exchange.finish(attempt, AttemptResult(reason))
         for entry in queued:
             if isinstance(entry, Attempt):
                 self.pool.retry(entry, reason)
@@ -369,18 +372,18 @@
         must not run twice gets a connection of its own where possible, because closing a connection ends
         everything in flight on it. Finishes the attempt as FULL if there is no connection for it."""
         now, limits = now_us(), self.limits
-        idle_timeout_us = int(limits.idle * 0.8e6)  # well before the server closes idle connections
+        idle_timeout_us = int(limits.idle_timeout * 0.8e6)  # well before the server closes idle connections
         silence_timeout_us = self.servers.silence_timeout_us()
         available = [
             connection
             for connection in self.connections
             if connection.can_take_requests(now, silence_timeout_us, idle_timeout_us)
-            and connection.load() < limits.streams
+            and connection.load() < limits.streams_per_connection
             and not connection.knows_request(attempt)
         ]
         shareable = [connection for connection in available if not connection.is_exclusive()]
         chosen = min(shareable, key=ServerConnection.load, default=None)
-        if chosen is None or chosen.load() >= (1 if attempt.once else SHARED_REQUESTS):
+        if chosen is None or chosen.load() >= (1 if attempt.at_most_once else SHARED_REQUESTS):
             if now - self.cap_set_us > CONNECTION_CAP_US:
                 self.connection_cap = MAX_CONNECTIONS  # the server may accept more again
             failed_recently = bool(available) and now - self.local_failure_us < LOCAL_FAILURE_PAUSE_US
@@ -396,7 +399,7 @@
             chosen = min(available, key=ServerConnection.load, default=None)
         if chosen is None:  # a silent connection is not closed for it: everything in flight there would end
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.exchange.finish, attempt, Report(Outcome.FULL))
+            loop.call_soon(self.exchange.finish, attempt, AttemptResult(Outcome.FULL))
             return
         chosen.enqueue(attempt)
 
@@ -419,21 +422,21 @@
         ended before the attempt was written. The server did not run it."""
         if attempt.ended:
             return
-        attempt.waits += 1
+        attempt.failed_connections += 1
         others = self.usable_connections()
         if reason is Outcome.NOT_CONNECTED:
             if others:
                 min(others, key=ServerConnection.load).enqueue(attempt)
             else:
-                self.exchange.finish(attempt, Report(reason))
+                self.exchange.finish(attempt, AttemptResult(reason))
             return
         if reason is Outcome.UNREACHABLE and others:  # the server accepts no more connections
             self.connection_cap = max(1, len(self.connections))
             self.cap_set_us = now_us()
-        if attempt.waits < MAX_CONNECTION_TRIES and (reason is Outcome.BROKEN or others):
+        if attempt.failed_connections < MAX_CONNECTION_TRIES and (reason is Outcome.BROKEN or others):
             self.servers.send(attempt)
             return
-        self.exchange.finish(attempt, Report(Outcome.UNREACHABLE))
+        self.exchange.finish(attempt, AttemptResult(Outcome.UNREACHABLE))
 
     def close(self) -> None:
         """Closes all connections."""
@@ -498,7 +501,7 @@
         pool = self.pools.get(attempt.server)
         if pool is None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.exchange.finish, attempt, Report(Outcome.UNREACHABLE))
+            loop.call_soon(self.exchange.finish, attempt, AttemptResult(Outcome.UNREACHABLE))
             return
         pool.send(attempt)
 
@@ -524,7 +527,7 @@
                 connection.close(Outcome.BROKEN)
             if not connection.closed and not connection.load() and connection.connected:
                 obsolete = connection.pool.retired or not connection.accepts_requests()
-                if obsolete or now - connection.last_used_us > self.limits.idle * 0.9e6:
+                if obsolete or now - connection.last_used_us > self.limits.idle_timeout * 0.9e6:
                     connection.close(Outcome.BROKEN)
         self.retired_pools = [pool for pool in self.retired_pools if pool.connections]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,9 +13,10 @@
 
 import pytest
 
-from onyxpulley.config import ENTRY, limits_of
-from onyxpulley.copies import Copies
+from onyxpulley.config import OBJECT_ENTRY_BYTES, derive_limits
+from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Exchange, Request
+from onyxpulley.decision_adapter import DecisionAdapter
 from onyxpulley.discovery import DiscoveryClient
 from onyxpulley.discovery_events import (
     CONNECT_TIMEOUT_S,
@@ -28,14 +29,13 @@
     Purge,
     parse_event,
 )
-from onyxpulley.facade import Facade
 from onyxpulley.server_streams import PlainServerStream
 from onyxpulley.servers import Servers
 
-from .helpers import World, entries, with_settings
-from .player import SETTINGS, Play
+from .helpers import RouterHarness, entries, with_settings
+from .player import SETTINGS, ExchangePlayer
 
-LIMITS = limits_of({"memory_mb": 64, "sockets": 256}, {}, 3.0)
+LIMITS = derive_limits({"memory_mb": 64, "sockets": 256}, {}, 3.0)
 
 
 def roster(no: int, rows: dict[str, str], full: bool = False, **more: Any) -> dict[str, Any]:
@@ -218,16 +218,16 @@
 
 
 # ---- On sockets
-class Harness:
+class DiscoveryHarness:
     """The program's parts with a discovery service on loopback, without its fronts."""
 
     def __init__(self, port: int) -> None:
-        self.facade = Facade(SETTINGS, 1)
+        self.facade = DecisionAdapter(SETTINGS, 1)
         self.servers = Servers(LIMITS)
-        self.exchange = Exchange(self.facade, self.servers, LIMITS, Copies(0))
+        self.exchange = Exchange(self.facade, self.servers, LIMITS, CopyStore(0))
         self.servers.exchange = self.exchange
         self.discovery = DiscoveryClient(
-            ("127.0.0.1", port), 1, LIMITS.line, self.facade, self.exchange, self.servers
+            ("127.0.0.1", port), 1, LIMITS.bulletin_line_bytes, self.facade, self.exchange, self.servers
         )
         self.exchange.read_pending = self.discovery.read_pending
         self.discovery.load_initial(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
@@ -240,7 +240,7 @@
 def test_an_unread_drain_is_applied_before_a_write() -> None:
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            harness = Harness(listener.getsockname()[1])
+            harness = DiscoveryHarness(listener.getsockname()[1])
             follow = asyncio.create_task(harness.discovery.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
@@ -248,14 +248,16 @@
             peer.sendall(b"1\n")
             while not any(c.connected and c.received_bytes for c in harness.discovery.connections.values()):
                 await asyncio.sleep(0.01)
-            harness.exchange.take(request(lambda answer: None))
-            attempt = next(iter(harness.exchange.open.values())).attempts[0]
+            harness.exchange.submit(request(lambda answer: None))
+            attempt = next(iter(harness.exchange.open_requests.values())).attempts[0]
             assert attempt.server == "c0" and attempt.source == "p0"
             peer.sendall(line(roster(2, {"p0": "Terminating"})) + b"\n")
             harness.discovery.last_read -= 1.0  # as if the loop had been busy with other work
-            assert not harness.exchange.clear(attempt), "it was told, although nobody had read it"
+            assert not harness.exchange.check_before_write(attempt), (
+                "it was told, although nobody had read it"
+            )
             assert harness.discovery.last_number == 2
-            later = next(iter(harness.exchange.open.values())).attempts[-1]
+            later = next(iter(harness.exchange.open_requests.values())).attempts[-1]
             assert later is not attempt and later.source != "p0"
             follow.cancel()
             peer.close()
@@ -270,14 +272,14 @@
 
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as sock:
-            harness = Harness(9)
+            harness = DiscoveryHarness(9)
             harness.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Gone")
             harness.servers.update_server("c0", f"127.0.0.1:{listener.getsockname()[1]}", "Ready")
             for number in range(2):
                 new_request = request(lambda answer: None)
                 new_request.txn = f"{number:016x}"
-                harness.exchange.take(new_request)
-            first, second = (r.attempts[0] for r in harness.exchange.open.values())
+                harness.exchange.submit(new_request)
+            first, second = (r.attempts[0] for r in harness.exchange.open_requests.values())
             connection = harness.servers.pools["c0"].connections[0]
             assert list(connection.send_queue) == [first, second]
 
@@ -305,11 +307,11 @@
     """The first lines of discovery bring a drain that `known` does not have: the router reports that it is
     fit after it, not before."""
 
-    class LateDrain(Play):
-        def number(self) -> bytes:
+    class LateDrain(ExchangePlayer):
+        def last_event_line(self) -> bytes:
             if not sends_lines:
                 return b""
-            self.rosters = 1
+            self.events_sent = 1
             return json.dumps(self.roster(2, [("c0", "Terminating"), ("p0", "Terminating")])).encode() + b"\n"
 
     async def play() -> None:
@@ -340,15 +342,15 @@
 @pytest.mark.parametrize("servers", [9, 200, 1100])
 def test_the_ranks_of_many_servers_stay_within_their_share_of_memory(servers: int) -> None:
     """An entry refers to every server of its role, so more servers mean fewer entries."""
-    world = World(with_settings(memo=500), entries(caches=servers))
+    world = RouterHarness(with_settings(max_tracked_objects=500), entries(caches=servers))
     for number in range(600):
-        world.router.ranked("cache", f"x{number}")
-    ranks = world.router.ranks
-    assert sum(8 * len(row) for row in ranks.values()) <= 500 * ENTRY
+        world.router.ranking("cache", f"x{number}")
+    ranks = world.router.rankings
+    assert sum(8 * len(row) for row in ranks.values()) <= 500 * OBJECT_ENTRY_BYTES
     assert len(ranks) >= 40, "enough to be of use"
-    world.router.configure(with_settings(memo=100))
-    world.router.ranked("cache", "x0")
-    assert not len(ranks) > 1 and ranks.most <= 100
+    world.router.configure(with_settings(max_tracked_objects=100))
+    world.router.ranking("cache", "x0")
+    assert not len(ranks) > 1 and ranks.max_entries <= 100
 
 
 LONG_ID = "s" * 124
@@ -361,16 +363,16 @@
 def test_lists_of_more_than_a_thousand_servers_with_the_longest_ids() -> None:
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            harness = Harness(listener.getsockname()[1])
+            harness = DiscoveryHarness(listener.getsockname()[1])
             harness.discovery.load_initial(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
-            assert len(harness.servers.pools) == 1025 and harness.facade.listed()[0] == 1025
+            assert len(harness.servers.pools) == 1025 and harness.facade.server_counts()[0] == 1025
             follow = asyncio.create_task(harness.discovery.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
             full_list = line(roster(3, {**fleet(1024, "Ready", 1100), "o": "Ready"}, full=True)) + b"\n"
             parts = [roster(4 + n, {uid: "Terminating"}) for n, uid in enumerate(fleet(1024, "", 1100))]
             changes = b"".join(line(row) + b"\n" for row in parts)
-            assert len(full_list) <= LIMITS.line
+            assert len(full_list) <= LIMITS.bulletin_line_bytes
             await loop.run_in_executor(None, peer.sendall, full_list + changes)
             async with asyncio.timeout(20):
                 while harness.discovery.last_number < 3 + 1100:
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -16,11 +16,11 @@
 from joserfc import jwt
 from joserfc.jwk import ECKey, OctKey
 
-from onyxpulley import operator as operators
+from onyxpulley import operator_config
 from onyxpulley.config import BadConfig
 
-from .issuer import Domain
-from .player import PATIENCE, Play, read_cases
+from .issuer import Authority
+from .player import STEP_TIMEOUT_S, ExchangePlayer, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
 PUBLIC = "https://lecciones.example"
@@ -70,14 +70,14 @@
     return found[1] if found[2] else ""
 
 
-class Console(Play):
+class Console(ExchangePlayer):
     """A play with callers of the administration API, each with its SVID."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, fill, operator() + ADMIN, self.context)
-        self.home, self.other, self.next = Domain(), Domain(), Domain()
+        self.home, self.other, self.next = Authority(), Authority(), Authority()
         uri = "spiffe://letra.example"
-        self.home.write(folder, "svid", f"{uri}/router")
+        self.home.write_svid(folder, "svid", f"{uri}/router")
         for file, domain in (("bundle", self.home), ("home", self.home), ("next", self.next)):
             domain.write_bundle(folder / f"{file}.pem")
         for domain, file, path in (
@@ -90,7 +90,7 @@
             (self.next, "a7", uri + "/console"),
             (self.next, "next-svid", uri + "/router"),
         ):
-            domain.write(folder, file, *filter(None, [path]))
+            domain.write_svid(folder, file, *filter(None, [path]))
 
     def context(self, name: str) -> ssl.SSLContext | None:
         if name[0] == "h":  # callers of the signed front, which is plain here
@@ -108,7 +108,7 @@
             for name in ("svid.key", "svid.pem"):
                 (self.folder / name).write_bytes((self.folder / f"next-{name}").read_bytes())
             (self.folder / "bundle.pem").write_bytes((self.folder / "next.pem").read_bytes())
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(STEP_TIMEOUT_S):
                 while "event=reloaded source=files" not in self.log.read_text():
                     await asyncio.sleep(0.05)
         elif line.endswith("turned away"):
@@ -156,15 +156,15 @@
 )
 def test_signed(lines: list[str], tmp_path: Path) -> None:
     async def play() -> None:
-        await Play(tmp_path, fill, operator()).run(lines)
+        await ExchangePlayer(tmp_path, fill, operator()).run(lines)
 
     asyncio.run(play())
 
 
 def test_the_example_of_the_operators_file_loads() -> None:
-    found = operators.load(Path(__file__).parents[1] / "deploy" / "operator.example.toml")
-    assert found.listen and found.admin and list(found.tenants.all) == ["centro-norte"]
-    assert found.allow == {"spiffe://letra.example/staff/console": "write"}
+    found = operator_config.load(Path(__file__).parents[1] / "deploy" / "operator.example.toml")
+    assert found.signed_listen and found.admin_listen and list(found.tenants.by_name) == ["centro-norte"]
+    assert found.admin_roles == {"spiffe://letra.example/staff/console": "write"}
 
 
 TENANT = '[[tenants]]\nname = "{}"\nissuer = "i"\naudience = "a"\nprefixes = ["{}"]\n'
@@ -187,7 +187,7 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(BadConfig, match=re.escape(said)) as problem:
-        operators.load(path)
+        operator_config.load(path)
     assert "\n" not in str(problem.value)
 
 
