--- a/onyxpulley/discovery.py
+++ b/onyxpulley/discovery.py
@@ -105,13 +105,13 @@
         address: tuple[str, int],
         seed: int,
         max_line_bytes: int,
-        facade: DecisionAdapter,
+        decisions: DecisionAdapter,
         exchange: Exchange,
         servers: Servers,
     ) -> None:
         self.address = address
         self.max_line_bytes = max_line_bytes
-        self.facade, self.exchange, self.servers = facade, exchange, servers
+        self.decisions, self.exchange, self.servers = decisions, exchange, servers
         self.log: Callable[[str], None] = log_line
         self.events = EventReader(self.log)
         self.schedule = ConnectionSchedule(random.Random(seed).random)
@@ -134,7 +134,7 @@
         `PARSE_ERRORS`."""
         events = [parse_event(row) for row in rows]
         for timestamp in (timestamp for event in events for timestamp in timestamps_of(event)):
-            self.facade.platform_clock.observe_initial(timestamp)
+            self.decisions.platform_clock.observe_initial(timestamp)
         for event in events:
             self.apply(event, live=False)
         self.events.last_number = number
@@ -142,13 +142,13 @@
     def apply(self, event: Event | None, live: bool = True) -> None:
         """Applies an event; `live` if discovery told it just now."""
         for timestamp in timestamps_of(event) if live else ():
-            self.facade.platform_clock.observe_event(timestamp)
+            self.decisions.platform_clock.observe_event(timestamp)
         if isinstance(event, MembershipUpdate):
             self._update_members(event.full, event.members)
         elif isinstance(event, Purge):
             self.on_purge(event.item, event.group, event.issued_ms)
             self.exchange.copies.purge(event.item, event.group, event.issued_ms)
-            self.exchange.execute(self.facade.purge(event.item, event.group, event.issued_ms, live))
+            self.exchange.execute(self.decisions.purge(event.item, event.group, event.issued_ms, live))
 
     def _update_members(self, full: bool, members: Sequence[Member]) -> None:
         if not members and not full:
@@ -160,7 +160,7 @@
                 self.servers.update_server(uid, "", "Gone")
         for member in members:
             self.servers.update_server(member.uid, member.endpoint, member.state)
-        self.exchange.execute(self.facade.update_servers(full, members))
+        self.exchange.execute(self.decisions.update_servers(full, members))
 
     # ---- Connections
     def change_address(self, address: tuple[str, int]) -> None:
@@ -254,7 +254,7 @@
                 event = self.events.read(line)
                 if isinstance(event, MembershipUpdate) and not event.full:
                     for timestamp in timestamps_of(event):
-                        self.facade.platform_clock.observe_event(timestamp)
+                        self.decisions.platform_clock.observe_event(timestamp)
                     changes += event.members
                 elif event is not None:
                     self._update_members(False, changes)
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -296,20 +296,20 @@
         self.last_used_us = now_us()
         if words[0] not in self.in_flight:
             return  # aborted meanwhile, a duplicate, or an unknown id
-        report = AttemptResult(OUTCOMES[words[1]], body=body, not_modified=words[1] == "unchanged")
+        result = AttemptResult(OUTCOMES[words[1]], body=body, not_modified=words[1] == "unchanged")
         row = fields.parse(words[2])
-        report.tag = row.get("version", "")
-        if not (report.tag.isalnum() or not report.tag):
-            raise ValueError(f"version of a copy is not alphanumeric: {report.tag[:40]!r}")
-        report.note = NOTE_NUMBERS.get(row.get("tell", ""), 0)
-        report.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
-        report.issued_ms = fields.parse_number(row.get("stamp", "0"), 0, 2**53)
-        self.pool.servers.on_copy_timestamp(report.issued_ms)
+        result.tag = row.get("version", "")
+        if not (result.tag.isalnum() or not result.tag):
+            raise ValueError(f"version of a copy is not alphanumeric: {result.tag[:40]!r}")
+        result.note = NOTE_NUMBERS.get(row.get("tell", ""), 0)
+        result.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
+        result.issued_ms = fields.parse_number(row.get("stamp", "0"), 0, 2**53)
+        self.pool.servers.on_copy_timestamp(result.issued_ms)
         if "meter" in row:
-            report.load = self.pool.read_load(row["meter"])
+            result.load = self.pool.read_load(row["meter"])
         attempt = self.in_flight.pop(words[0])
         self.pool.servers.record_answer_time(self.last_used_us - attempt.started_at)
-        self.pool.exchange.finish(attempt, report)
+        self.pool.exchange.finish(attempt, result)
 
     def close(self, reason: Outcome) -> None:
         """Closes the connection, once. Attempts in flight may have run and end with `reason`; queued ones
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -222,12 +222,12 @@
     """The program's parts with a discovery service on loopback, without its fronts."""
 
     def __init__(self, port: int) -> None:
-        self.facade = DecisionAdapter(SETTINGS, 1)
+        self.decisions = DecisionAdapter(SETTINGS, 1)
         self.servers = Servers(LIMITS)
-        self.exchange = Exchange(self.facade, self.servers, LIMITS, CopyStore(0))
+        self.exchange = Exchange(self.decisions, self.servers, LIMITS, CopyStore(0))
         self.servers.exchange = self.exchange
         self.discovery = DiscoveryClient(
-            ("127.0.0.1", port), 1, LIMITS.bulletin_line_bytes, self.facade, self.exchange, self.servers
+            ("127.0.0.1", port), 1, LIMITS.bulletin_line_bytes, self.decisions, self.exchange, self.servers
         )
         self.exchange.read_pending = self.discovery.read_pending
         self.discovery.load_initial(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
@@ -365,7 +365,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             harness = DiscoveryHarness(listener.getsockname()[1])
             harness.discovery.load_initial(2, [roster(2, {**fleet(0, "Ready"), "o": "Ready"}, full=True)])
-            assert len(harness.servers.pools) == 1025 and harness.facade.server_counts()[0] == 1025
+            assert len(harness.servers.pools) == 1025 and harness.decisions.server_counts()[0] == 1025
             follow = asyncio.create_task(harness.discovery.run())
             loop = asyncio.get_running_loop()
             peer, _ = await loop.run_in_executor(None, listener.accept)
@@ -377,7 +377,7 @@
             async with asyncio.timeout(20):
                 while harness.discovery.last_number < 3 + 1100:
                     await asyncio.sleep(0.01)
-            router = harness.facade.router
+            router = harness.decisions.router
             states = [s.state.name for uid, s in router.servers.items() if uid != "o"]
             assert states == ["DRAINING"] * 1100 and len(harness.servers.pools) == 1101
             follow.cancel()
