--- a/onyxpulley/__main__.py
+++ b/onyxpulley/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m onyxpulley`: the request router."""
+"""`python -m onyxpulley` runs the request router."""
 
 import signal
 import sys
 
-# Guards against a signal that comes while the program is still loading: it waits until the loop can take it.
+# Keeps these signals pending until the loop handles them: one that came during loading would end the process.
 signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM))
 
 from onyxpulley.program import main  # noqa: E402
--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -1,4 +1,4 @@
-"""The platform's front: clients speak RESP arrays of bulk strings."""
+"""The platform's front: clients send RESP arrays of bulk strings and get one such array for each answer."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 if TYPE_CHECKING:
     from onyxpulley.config import Limits
 
-OPEN = 32  # requests of one connection
-BODY = 48_000  # bytes that a write brings
-SKIP = (
-    1_048_576  # of a larger body so much is passed over, to answer under its tag; past it the connection ends
-)
-WORDS = 8  # in an array
-HEAD = 4_096  # bytes of any word that is not the body
-WHOLE = 2_600_000  # us in which a message is whole, from its first byte; the first one from connecting: good
-# clients take 2 s and somewhat more, bad ones are to be gone 3 s after connecting
-MAX_LOG_LINES_PER_SECOND = 20  # of the log for bad clients, in a second
-STALL = 10.0  # seconds that a client may leave an answer unread
-LATELY = 2_100_000  # us from a client's last request in which it cannot be left open at the end of a drain
-WORD = {
+MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_BODY_BYTES = 48_000
+# A larger body up to this size is discarded and answered under its tag; beyond it the connection ends.
+MAX_DISCARDED_BODY_BYTES = 1_048_576
+MAX_ARRAY_ELEMENTS = 8
+MAX_ELEMENT_BYTES = 4_096  # of any element but the body
+# From the first byte of a message to its last; for the first message, from the time of connecting. Good
+# clients need a little more than 2 s; bad ones must be gone 3 s after connecting.
+MESSAGE_TIMEOUT_US = 2_600_000
+MAX_LOG_LINES_PER_SECOND = 20  # about bad clients
+SEND_TIMEOUT_S = 10.0
+RECENT_REQUEST_US = 2_100_000  # a client that sent a request this recently is not left open after a drain
+REPLY_STATUS = {
     Verdict.SERVED: b"good",
     Verdict.REFUSED: b"refused",
     Verdict.FAILED: b"broken",
     Verdict.EXPIRED: b"broken",
 }
-HEX = frozenset("0123456789abcdef")
+HEX_DIGITS = frozenset("0123456789abcdef")
 
 
 class CloseReason(Enum):
@@ -51,130 +51,152 @@
 
     CLIENT_LEFT = "client_left"
     MALFORMED = "malformed"
-    OVERDUE = "overdue"  # half a message for too long
+    OVERDUE = "overdue"  # a message stayed incomplete for too long
     READ_FAILED = "read_failed"
     WRITE_FAILED = "write_failed"
     UNREAD = "unread"  # the client left an answer unread for too long
     MEMORY = "memory"
     ROOM = "room"  # made way for another connection
-    IDLE = "idle"  # the router drains and owes it nothing
+    IDLE = "idle"  # the router drains and owes the client nothing
     SHUTDOWN = "shutdown"
 
 
-class Malformed(Exception):
-    """What came cannot be read as the protocol; nothing after it can."""
+class MalformedMessage(Exception):
+    """The input breaks the protocol, so that nothing after it can be parsed."""
+
+
+class BodyTooLarge(Exception):
+    """The body of a message is over the limit; the elements before it were parsed.
 
+    `body_start` is the offset of the body in the buffer, `body_size` its announced size in bytes.
+    """
 
-class Oversize(Exception):
-    """A body past the limit, of a request whose tag is known."""
+    def __init__(self, elements: list[bytes], body_start: int, body_size: int) -> None:
+        self.elements = elements
+        self.body_start = body_start
+        self.body_size = body_size
 
-    def __init__(self, words: list[bytes], at: int, size: int) -> None:
-        self.words, self.at, self.size = words, at, size
 
+def parse_length(data: bytearray, start: int, end: int, marker: int, most: int) -> tuple[int, int] | None:
+    """Parses the length line at `start`, which begins with `marker` and gives a number up to `most`.
 
-def bulk(data: bytearray, at: int, end: int, mark: int, most: int) -> tuple[int, int] | None:
-    """The number on a line that starts with `mark`, and where the line ends. None: not whole yet."""
-    if at >= end:
+    Returns the number and the offset behind the line, or None while the line is incomplete. Raises
+    MalformedMessage.
+    """
+    if start >= end:
         return None
-    if data[at] != mark:
-        raise Malformed(f"expected {chr(mark)!r}")
-    line = data.find(b"\r\n", at + 1, min(end, at + 16))
-    if line < 0:
-        if end - at >= 16:
-            raise Malformed("length line too long")
+    if data[start] != marker:
+        raise MalformedMessage(f"expected {chr(marker)!r}, got {chr(data[start])!r}")
+    line_end = data.find(b"\r\n", start + 1, min(end, start + 16))
+    if line_end < 0:
+        if end - start >= 16:
+            raise MalformedMessage("length line too long")
         return None
     try:
-        return fields.number(data[at + 1 : line].decode("ascii"), 0, most), line + 2
+        return fields.number(data[start + 1 : line_end].decode("ascii"), 0, most), line_end + 2
     except ValueError as problem:
-        raise Malformed(str(problem)) from problem
+        raise MalformedMessage(str(problem)) from problem
 
 
-def read_array(data: bytearray, start: int, end: int) -> tuple[list[bytes], int] | None:
-    """One array and where it ends, or None when it is not whole yet."""
-    head = bulk(data, start, end, 0x2A, WORDS)
+def parse_array(data: bytearray, start: int, end: int) -> tuple[list[bytes], int] | None:
+    """Parses one array and returns its elements and the offset behind it, or None while it is incomplete.
+
+    Raises MalformedMessage, or BodyTooLarge for a body that is too large but may be discarded.
+    """
+    head = parse_length(data, start, end, 0x2A, MAX_ARRAY_ELEMENTS)
     if head is None:
         return None
     count, at = head
-    words: list[bytes] = []
-    for no in range(count):
-        found = bulk(data, at, end, 0x24, 2**40)
+    elements: list[bytes] = []
+    for index in range(count):
+        found = parse_length(data, at, end, 0x24, 2**40)
         if found is None:
             return None
         size, at = found
-        if size > (BODY if no >= 4 else HEAD):
-            if no >= 4 and size <= SKIP:
-                raise Oversize(words, at, size)
-            raise Malformed("word too long")
+        if size > (MAX_BODY_BYTES if index >= 4 else MAX_ELEMENT_BYTES):
+            if index >= 4 and size <= MAX_DISCARDED_BODY_BYTES:
+                raise BodyTooLarge(elements, at, size)
+            raise MalformedMessage(f"element of {size} bytes is too long")
         if end < at + size + 2:
             return None
         if data[at + size] != 13 or data[at + size + 1] != 10:
-            raise Malformed("no line end after a word")
-        words.append(bytes(memoryview(data)[at : at + size]))
+            raise MalformedMessage("element does not end with CRLF")
+        elements.append(bytes(memoryview(data)[at : at + size]))
         at += size + 2
-    return words, at
+    return elements, at
 
 
-def reply_bytes(tag: bytes, word: bytes, row: str = "", body: bytes = b"") -> bytes:
-    text = row.encode()
+def encode_reply(tag: bytes, status: bytes, field_list: str = "", body: bytes = b"") -> bytes:
+    """One answer as a RESP array: tag, status, fields and body."""
+    text = field_list.encode()
     return b"*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n" % (
-        len(tag), tag, len(word), word, len(text), text, len(body), body,
+        len(tag), tag, len(status), status, len(text), text, len(body), body,
     )  # fmt: skip
 
 
-def read_request(words: list[bytes], classes: frozenset[str], arrived: int) -> Request:
-    """An ASK as the core takes it. Raises ValueError on anything that a server must not be sent."""
-    if not 4 <= len(words) <= 5:
-        raise ValueError(f"{len(words)} words")
-    cls = words[2].decode("ascii")
+def parse_request(elements: list[bytes], classes: frozenset[str], arrived: int) -> Request:
+    """Makes the core's request from an ASK message that arrived at `arrived` (monotonic microseconds).
+
+    Raises ValueError for anything that must not be sent to a server. The caller sets `reply`.
+    """
+    if not 4 <= len(elements) <= 5:
+        raise ValueError(f"ASK with {len(elements)} elements, not 4 or 5")
+    cls = elements[2].decode("ascii")
     if cls not in classes:
         raise ValueError(f"unknown class {cls[:40]!r}")
-    row = fields.read(words[3].decode("ascii"))
+    row = fields.read(elements[3].decode("ascii"))
     for name in ("txn", "item"):
-        if len(row.get(name, "")) != 16 or not HEX.issuperset(row[name]):
+        if len(row.get(name, "")) != 16 or not HEX_DIGITS.issuperset(row[name]):
             raise ValueError(f"{name} is not 16 hex digits")
     have = row.get("have", "")
     if len(have) > 64 or not have.isalnum() and have:
-        raise ValueError("bad tag of a copy")
+        raise ValueError("have is not an alphanumeric tag of at most 64 characters")
     size = float(row.get("ram", "0"))
     if not 0 <= size < 1e9:
-        raise ValueError("bad size")
+        raise ValueError(f"ram is out of bounds: {size}")
     return Request(
         txn=row["txn"],
         cls=cls,
         item=row["item"],
         due=arrived + 1000 * fields.number(row.get("limit", ""), 1, 3_600_000),
-        reply=unanswered,
+        reply=reply_not_set,
         part=fields.number(row.get("part", "0"), 0, 2**31),
         group=fields.number(row["group"], 0, 255) if "group" in row else None,
         size_kb=size,
-        body=words[4] if len(words) > 4 else b"",
+        body=elements[4] if len(elements) > 4 else b"",
         have=have,
         again=row.get("second", "") == "1",
     )
 
 
-def unanswered(answer: Answer) -> None:
-    raise AssertionError("a request without a front")
+def reply_not_set(answer: Answer) -> None:
+    """Stands for `reply` until the connection of the request sets it."""
+    raise AssertionError("a request was answered before its reply callback was set")
 
 
 class ClientConnection:
-    """One connection of a client."""
+    """One connection of a client, with a task that reads messages and one that writes answers.
+
+    All times are monotonic microseconds, 0 for never.
+    """
 
     def __init__(self, front: PlatformFront, sock: socket.socket, failing_since: int) -> None:
+        """`failing_since`: since when the connection may have waited because accepting failed, or 0."""
         self.front = front
         self.stream = SocketStream(sock, "client", failing_since)
-        self.buffer = Buffer(4_096, BODY + 8 * HEAD)
-        self.open: dict[bytes, Request] = {}
-        self.out: deque[bytes] = deque()
-        self.unsent_bytes = 0  # bytes of `out` and of what is being written
-        self.skip = 0
+        self.buffer = Buffer(4_096, MAX_BODY_BYTES + 8 * MAX_ELEMENT_BYTES)
+        self.open_requests: dict[bytes, Request] = {}  # by tag
+        self.send_queue: deque[bytes] = deque()
+        self.unsent_bytes = 0  # in `send_queue` and in the send under way
+        self.bytes_to_discard = 0  # the rest of a body that was too large
         self.closed = False
-        self.used = self.began = now_us()  # `began`: since when a message is awaited, 0: none is
-        self.spoke = False  # a whole message came
-        self.asked = 0  # when the last request came
-        self.stopped: CloseReason | None = None  # why nothing more is read as messages
+        self.last_activity = now_us()
+        self.waiting_since = self.last_activity  # for the rest of a message, or for the first one
+        self.received_message = False
+        self.last_request_at = 0
+        self.stop_reason: CloseReason | None = None  # set when input is no longer parsed
         self.stopped_at = 0
-        self.wake = asyncio.Event()
+        self.wake_writer = asyncio.Event()
         self.tasks = {asyncio.create_task(self._read()), asyncio.create_task(self._write())}
 
     async def _read(self) -> None:
@@ -188,116 +210,126 @@
             self.close(reason)
 
     async def _receive(self) -> bool:
-        """Takes in what came; False at the end. What may have waited while reads failed is taken in whole, up
-        to an end of the connection behind it, before anything is sent for it."""
-        got: int | None = await self.stream.receive_into(self._room())
-        while got and not self.closed:
-            self.buffer.end += got
-            self._take_in()
+        """Receives and processes input; returns False at the end of the stream.
+
+        After failed reads, all that may have queued up meanwhile is processed, also an end of the stream
+        behind it, before anything is sent to a server for it.
+        """
+        received: int | None = await self.stream.receive_into(self._free_space())
+        while received and not self.closed:
+            self.buffer.end += received
+            self._process_input()
             if self.closed or not self.stream.late_since:
                 break
-            got = self.stream.receive_now(self._room())
-        return got != 0
+            received = self.stream.receive_now(self._free_space())
+        return received != 0
 
-    def _room(self) -> memoryview:
+    def _free_space(self) -> memoryview:
         try:
             return self.buffer.room()
         except BufferError as problem:
             self.stop_reading(CloseReason.MALFORMED, str(problem))
             return self.buffer.room()
 
-    def _take_in(self) -> None:
-        self.used = now_us()
-        if self.stopped is not None:
+    def _process_input(self) -> None:
+        self.last_activity = now_us()
+        if self.stop_reason is not None:
             self.buffer.start = self.buffer.end = 0
             return
         try:
-            self._parse()
-        except Malformed as problem:
+            self._process_messages()
+        except MalformedMessage as problem:
             self.stop_reading(CloseReason.MALFORMED, str(problem))
             return
-        if self.skip or self.buffer.start < self.buffer.end:
-            self.began = self.began or self.used
-        elif self.spoke:
-            self.began = 0
+        if self.bytes_to_discard or self.buffer.start < self.buffer.end:
+            self.waiting_since = self.waiting_since or self.last_activity
+        elif self.received_message:
+            self.waiting_since = 0
 
     def stop_reading(self, reason: CloseReason, why: str) -> None:
-        """Passes over whatever else comes, and closes when what is open has been answered."""
-        self.front.say(why)
-        self.stopped, self.stopped_at = reason, now_us()
-        self.buffer = Buffer(4_096, BODY + 8 * HEAD)
-        self.skip = self.began = 0
+        """Discards all further input and closes the connection once its open requests are answered."""
+        self.front.log_bad_client(why)
+        self.stop_reason = reason
+        self.stopped_at = now_us()
+        self.buffer = Buffer(4_096, MAX_BODY_BYTES + 8 * MAX_ELEMENT_BYTES)
+        self.bytes_to_discard = self.waiting_since = 0
         if reason is not CloseReason.MALFORMED:
-            self.settle()
+            self.settle_open_requests()
         if self.all_answered():
             self.close(reason)
 
-    def settle(self) -> None:
-        """The final answer now to all that is open."""
-        for request in list(self.open.values()):
+    def settle_open_requests(self) -> None:
+        """Gives every open request its final answer now."""
+        for request in list(self.open_requests.values()):
             self.front.exchange.settle(request)
 
-    def _parse(self) -> None:
+    def _process_messages(self) -> None:
         buffer = self.buffer
         while buffer.start < buffer.end:
-            if self.skip:
-                step = min(self.skip, buffer.end - buffer.start)
-                buffer.start, self.skip = buffer.start + step, self.skip - step
+            if self.bytes_to_discard:
+                discarded = min(self.bytes_to_discard, buffer.end - buffer.start)
+                buffer.start += discarded
+                self.bytes_to_discard -= discarded
                 continue
             try:
-                found = read_array(buffer.data, buffer.start, buffer.end)
-            except Oversize as problem:
-                self._fail(problem.words, "body too large")
-                self.skip, buffer.start = problem.size + 2, problem.at
+                found = parse_array(buffer.data, buffer.start, buffer.end)
+            except BodyTooLarge as problem:
+                self._reject(problem.elements, f"body of {problem.body_size} bytes is too large")
+                self.bytes_to_discard = problem.body_size + 2
+                buffer.start = problem.body_start
                 continue
             if found is None:
                 return
-            words, buffer.start = found
-            self.spoke, self.began = True, 0
-            self._message(words)
-
-    def _fail(self, words: list[bytes], why: str) -> None:
-        """A failure where a tag is known; else this connection cannot go on."""
-        tag = words[1] if len(words) > 1 else b""
+            elements, buffer.start = found
+            self.received_message = True
+            self.waiting_since = 0
+            self._handle_message(elements)
+
+    def _reject(self, elements: list[bytes], why: str) -> None:
+        """Answers a message with a failure. Raises MalformedMessage where it has no valid tag."""
+        tag = elements[1] if len(elements) > 1 else b""
         if not (tag.isdigit() and len(tag) <= 19 and int(tag) > 0):
-            raise Malformed(why)
-        self.front.say(why)
-        self.send(reply_bytes(tag, b"broken"))
+            raise MalformedMessage(why)
+        self.front.log_bad_client(why)
+        self.send(encode_reply(tag, b"broken"))
 
-    def _message(self, words: list[bytes]) -> None:
-        verb = words[0] if words else b""
-        tag = words[1] if len(words) > 1 else b""
+    def _handle_message(self, elements: list[bytes]) -> None:
+        verb = elements[0] if elements else b""
+        tag = elements[1] if len(elements) > 1 else b""
         if not (tag.isdigit() and len(tag) <= 19 and int(tag) > 0):
-            raise Malformed("no tag")
+            raise MalformedMessage(f"not a valid tag: {tag[:40]!r}")
         if verb == b"ASK":
-            if tag in self.open:  # an answer would tell neither of the two
-                self.front.exchange.left(self.open.pop(tag))
-                raise Malformed("tag is open already")
-            if len(self.open) >= OPEN:
-                return self._fail(words, "too many open requests")
+            if tag in self.open_requests:  # the client could not tell which of the two an answer is for
+                self.front.exchange.left(self.open_requests.pop(tag))
+                raise MalformedMessage(f"tag {tag.decode()} is in use by an open request")
+            if len(self.open_requests) >= MAX_OPEN_REQUESTS:
+                return self._reject(elements, f"more than {MAX_OPEN_REQUESTS} open requests")
             try:
-                request = read_request(words, self.front.classes, self.stream.late_since or self.used)
+                arrived = self.stream.late_since or self.last_activity
+                request = parse_request(elements, self.front.classes, arrived)
             except ValueError as problem:
-                return self._fail(words, f"bad request: {problem}")
+                return self._reject(elements, f"bad request: {problem}")
 
             def reply(answer: Answer) -> None:
-                self._reply(tag, answer)
+                self._send_answer(tag, answer)
 
-            request.reply, request.out_of_touch = reply, self.stream.out_of_touch
-            first, self.asked = not self.asked, self.used
-            self.open[tag] = request
+            request.reply = reply
+            request.out_of_touch = self.stream.out_of_touch
+            first = not self.last_request_at
+            self.last_request_at = self.last_activity
+            self.open_requests[tag] = request
             self.front.exchange.take(request, first)
         elif verb == b"NEVERMIND":
-            left = self.open.pop(tag, None)
-            if left is not None:
-                self.front.exchange.left(left)
+            abandoned = self.open_requests.pop(tag, None)
+            if abandoned is not None:
+                self.front.exchange.left(abandoned)
         elif verb == b"STATUS":
-            self.send(reply_bytes(tag, b"fit" if self.front.fit else b"unfit"))
+            self.send(encode_reply(tag, b"fit" if self.front.ready else b"unfit"))
         else:
-            self._fail(words, "unknown verb")
+            self._reject(elements, f"unknown verb {verb[:40]!r}")
 
-    def _reply(self, tag: bytes, answer: Answer) -> None:
-        if self.open.pop(tag, None) is None:
+    def _send_answer(self, tag: bytes, answer: Answer) -> None:
+        if self.open_requests.pop(tag, None) is None:
             return
         row = []
         if answer.verdict is Verdict.SERVED and answer.tag:
@@ -306,31 +338,33 @@
             row.append("same=1")
         if answer.later:
             row.append(f"later={answer.later}")
-        self.send(reply_bytes(tag, WORD[answer.verdict], ",".join(row), answer.body))
+        self.send(encode_reply(tag, REPLY_STATUS[answer.verdict], ",".join(row), answer.body))
 
     def send(self, data: bytes) -> None:
+        """Queues data for the writer; may close the connection with the most unsent data to free memory."""
         if self.closed:
             return
-        self.out.append(data)
+        self.send_queue.append(data)
         self.unsent_bytes += len(data)
         self.front.unsent_bytes += len(data)
-        self.wake.set()
+        self.wake_writer.set()
         if self.front.unsent_bytes > self.front.limits.queued_answer_bytes:
-            self.front.shed()
+            self.front.close_slowest_reader()
 
     async def _write(self) -> None:
         reason = CloseReason.IDLE
         try:
             while not self.closed:
-                await self.wake.wait()
-                self.wake.clear()
-                while self.out:
-                    await self._batch()
-                if self.stopped is not None and self.all_answered():
-                    reason = self.stopped
+                await self.wake_writer.wait()
+                self.wake_writer.clear()
+                while self.send_queue:
+                    await self._send_batch()
+                if self.stop_reason is not None and self.all_answered():
+                    reason = self.stop_reason
+                    return
+                if self.front.draining and self.last_request_at and self.is_idle():
+                    # The client repeats a request that crosses the close; a partial one delays the close.
                     return
-                if self.front.leaving and self.asked and self.idle():
-                    return  # a request that crosses this is sent again; one that is half here ends it later
         except TimeoutError:
             reason = CloseReason.UNREAD
         except OSError:
@@ -338,147 +372,184 @@
         finally:
             self.close(reason)
 
-    def overdue(self, now: int) -> bool:
-        """Guards against those who connect and say nothing, or half of it, whatever else they have open."""
-        return bool(self.began) and now - self.began > WHOLE
+    def is_overdue(self, now: int) -> bool:
+        """Whether the first message, or the rest of one, has been awaited for too long.
+
+        Limits clients that connect and send nothing or half a message, whatever else they have open.
+        """
+        return bool(self.waiting_since) and now - self.waiting_since > MESSAGE_TIMEOUT_US
 
     def all_answered(self) -> bool:
-        """Nothing is owed to it, though half a message may be here."""
-        return not self.open and not self.unsent_bytes
+        """Whether no request is open and no answer unsent. Part of a message may have arrived."""
+        return not self.open_requests and not self.unsent_bytes
 
-    async def _batch(self) -> None:
-        """Apart from its task, which would hold on to the bytes while it waits for the next answer."""
-        batch = [self.out.popleft()]
+    async def _send_batch(self) -> None:
+        """Sends queued answers, up to 64 KiB unless a single one is larger.
+
+        Apart from `_write`, whose frame would keep the bytes alive while it waits for the next answer.
+        """
+        batch = [self.send_queue.popleft()]
         size = len(batch[0])
-        while self.out and size + len(self.out[0]) <= 65_536:
-            size += len(self.out[0])
-            batch.append(self.out.popleft())
-        async with asyncio.timeout(STALL):
+        while self.send_queue and size + len(self.send_queue[0]) <= 65_536:
+            size += len(self.send_queue[0])
+            batch.append(self.send_queue.popleft())
+        async with asyncio.timeout(SEND_TIMEOUT_S):
             await self.stream.send_all(batch[0] if len(batch) == 1 else b"".join(batch))
         self.unsent_bytes -= size
         self.front.unsent_bytes -= size
-        self.used = now_us()
+        self.last_activity = now_us()
 
     def eviction_age(self, now: int) -> int:
-        """How long nothing came; of a connection on which nothing ever came it counts for more."""
-        return (now - self.used) * (
-            1 if self.spoke or self.buffer.end or self.skip else SILENT_CONNECTION_WEIGHT
-        )
+        """Microseconds since the last activity, weighted where nothing was ever received."""
+        received_anything = self.received_message or self.buffer.end or self.bytes_to_discard
+        return (now - self.last_activity) * (1 if received_anything else SILENT_CONNECTION_WEIGHT)
 
-    def idle(self) -> bool:
-        return self.all_answered() and self.buffer.start == self.buffer.end and not self.skip
+    def is_idle(self) -> bool:
+        """Whether everything is answered and no part of a message has arrived."""
+        return self.all_answered() and self.buffer.start == self.buffer.end and not self.bytes_to_discard
 
     def close(self, reason: CloseReason = CloseReason.ROOM) -> None:
-        """The client is gone, or is sent away: what it had open is given up."""
+        """Closes the connection and abandons its open requests. Does nothing if it is closed already."""
         if self.closed:
             return
         self.closed = True
         metrics.count(f"client_closed.{reason.value}")
-        if self.open and reason is not CloseReason.CLIENT_LEFT:
-            ids = ",".join(request.txn for request in self.open.values())
-            logs.event("client", "closed_under_requests", reason=reason.value, open=len(self.open), ids=ids)
+        if self.open_requests and reason is not CloseReason.CLIENT_LEFT:
+            ids = ",".join(request.txn for request in self.open_requests.values())
+            logs.event(
+                "client",
+                "closed_under_requests",
+                reason=reason.value,
+                open=len(self.open_requests),
+                ids=ids,
+            )
         self.front.connections.discard(self)
         self.front.unsent_bytes -= self.unsent_bytes
         self.unsent_bytes = 0
-        self.out.clear()
+        self.send_queue.clear()
         current = asyncio.current_task()
         for task in self.tasks:
             if task is not current:
                 task.cancel()
-        self.tasks.clear()  # with them goes what would keep a closed connection until a collection
+        self.tasks.clear()  # a reference cycle: the connection would stay until a garbage collection
         self.buffer = Buffer(0, 0)
         self.stream.close()
-        gone = list(self.open.values())
-        self.open.clear()
-        for request in gone:
+        abandoned = list(self.open_requests.values())
+        self.open_requests.clear()
+        for request in abandoned:
             self.front.exchange.left(request)
 
 
 class PlatformFront(Listener):
-    """The listener and all connections of the platform's front."""
+    """The listener of the platform's front and all its connections."""
 
     def __init__(self, exchange: Exchange, classes: frozenset[str], limits: Limits) -> None:
         super().__init__()
-        self.exchange, self.classes, self.limits = exchange, classes, limits
+        self.exchange = exchange
+        self.classes = classes  # names of the request classes that are accepted
+        self.limits = limits
         self.connections: set[ClientConnection] = set()
-        self.other_connections: Callable[[], int] = lambda: 0  # connections of the other fronts
-        self.evictable_elsewhere: Callable[[], Iterable[EvictableConnection]] = (
-            tuple  # those of them that may have to make way
-        )
-        self.unsent_bytes = 0
-        self.fit = self.leaving = False
-        self.said, self.said_at = 0, 0
+        # The limit on connections holds for all fronts together: how many the others have, and which of those
+        # may be closed to make room.
+        self.other_connections: Callable[[], int] = lambda: 0
+        self.evictable_elsewhere: Callable[[], Iterable[EvictableConnection]] = tuple
+        self.unsent_bytes = 0  # of all connections
+        self.ready = False  # what STATUS tells
+        self.draining = False
+        self.lines_logged = 0  # about bad clients, in the current second
+        self.log_window_start = 0  # monotonic microseconds
 
     @property
-    def most(self) -> int:
+    def max_connections(self) -> int:
+        """The limit on connections of clients, all fronts together."""
         return self.limits.client_connections
 
     def admit(self) -> bool:
-        """Room for one more, in place of another one where there is none: the bound is on all fronts."""
-        if len(self.connections) + self.other_connections() >= self.most:
+        """Whether one more connection has room; at the limit it closes another one to make room."""
+        if len(self.connections) + self.other_connections() >= self.max_connections:
             return evict_one((*self.connections, *self.evictable_elsewhere()), now_us())
         return True
 
-    def _count(self) -> None:
-        if now_us() - self.said_at > 1_000_000:
-            if self.said > MAX_LOG_LINES_PER_SECOND:
-                logs.say(f"client: {self.said - MAX_LOG_LINES_PER_SECOND} more like these")
-            self.said, self.said_at = 0, now_us()
+    def _start_log_window_if_due(self) -> None:
+        if now_us() - self.log_window_start > 1_000_000:
+            if self.lines_logged > MAX_LOG_LINES_PER_SECOND:
+                logs.say(f"client: {self.lines_logged - MAX_LOG_LINES_PER_SECOND} more lines suppressed")
+            self.lines_logged = 0
+            self.log_window_start = now_us()
 
     def sweep(self) -> None:
+        """Stops reading from connections that are overdue, and while incomplete messages take too much memory
+        from those that have been idle longest."""
         now = now_us()
-        self._count()
-        for client in [c for c in self.connections if c.overdue(now)]:
-            client.stop_reading(CloseReason.OVERDUE, "no whole message in time")
-        for client in [c for c in self.connections if c.stopped is not None and now - c.stopped_at > WHOLE]:
-            client.settle()
-        parts = sorted((c for c in self.connections if c.began), key=lambda c: c.eviction_age(now))
-        held = sum(len(c.buffer.data) for c in parts)
-        while (
-            held > self.limits.partial_message_bytes
-        ):  # guards the memory against very many large halves of messages
-            client = parts.pop()
-            held -= len(client.buffer.data)
-            client.stop_reading(CloseReason.MEMORY, "too much of messages that are not whole")
-
-    def say(self, why: str) -> None:
-        """One line for the log; of very many in a second the rest is counted. Guards the log and the core."""
-        self._count()
-        self.said += 1
-        if self.said <= MAX_LOG_LINES_PER_SECOND:
+        self._start_log_window_if_due()
+        for client in [c for c in self.connections if c.is_overdue(now)]:
+            client.stop_reading(CloseReason.OVERDUE, "no complete message in time")
+        for client in [
+            c
+            for c in self.connections
+            if c.stop_reason is not None and now - c.stopped_at > MESSAGE_TIMEOUT_US
+        ]:
+            client.settle_open_requests()
+        incomplete = sorted(
+            (c for c in self.connections if c.waiting_since), key=lambda c: c.eviction_age(now)
+        )
+        buffered_bytes = sum(len(c.buffer.data) for c in incomplete)
+        while buffered_bytes > self.limits.partial_message_bytes:
+            client = incomplete.pop()
+            buffered_bytes -= len(client.buffer.data)
+            client.stop_reading(CloseReason.MEMORY, "too much of messages that are incomplete")
+
+    def log_bad_client(self, why: str) -> None:
+        """Logs one line, or only counts it past MAX_LOG_LINES_PER_SECOND: very many would fill the log."""
+        self._start_log_window_if_due()
+        self.lines_logged += 1
+        if self.lines_logged <= MAX_LOG_LINES_PER_SECOND:
             logs.say(f"client: {why}"[:200])
 
     def add_connection(self, sock: socket.socket) -> None:
+        """Starts to serve an accepted connection."""
         self.connections.add(ClientConnection(self, sock, self.failing_since))
 
-    def shed(self) -> None:
-        """Guards the memory against clients that do not read: the one that holds most goes."""
-        worst = max(self.connections, key=lambda c: c.unsent_bytes, default=None)
-        if worst is not None:
-            logs.say(f"client: {worst.unsent_bytes} bytes unread, closed")
-            worst.close(CloseReason.MEMORY)
-
-    def leave(self) -> None:
-        """Clients are to go elsewhere: from now on each is closed as soon as nothing is open on it. Who
-        never asked may stay for a while: it is the front with its STATUS, or a first request is coming."""
-        self.leaving, now = True, now_us()
+    def close_slowest_reader(self) -> None:
+        """Closes the connection with the most unsent data, to free memory that clients hold unread."""
+        slowest = max(self.connections, key=lambda c: c.unsent_bytes, default=None)
+        if slowest is not None:
+            logs.say(f"client: {slowest.unsent_bytes} bytes unread, closed")
+            slowest.close(CloseReason.MEMORY)
+
+    def drain(self) -> None:
+        """Closes idle connections, and from now on each other one as soon as nothing is open on it.
+
+        A connection without a request so far may stay for a while: it belongs to a health check that uses
+        STATUS, or its first request is on its way.
+        """
+        self.draining = True
+        now = now_us()
         for client in [
-            c for c in self.connections if c.idle() and (c.asked or now - c.used > FIRST_REQUEST_GRACE_US)
+            c
+            for c in self.connections
+            if c.is_idle() and (c.last_request_at or now - c.last_activity > FIRST_REQUEST_GRACE_US)
         ]:
             client.close(CloseReason.IDLE)
 
-    def settle(self) -> None:
-        """Guards against those that never fall idle: who asked lately gets its final answers, and the end."""
+    def settle_recent_clients(self) -> None:
+        """Gives the clients that sent a request lately their final answers, and so lets them be closed.
+
+        Without it a client that always has a request open would never be closed by a drain.
+        """
         now = now_us()
-        for client in [c for c in self.connections if now - c.asked < LATELY]:
-            client.settle()
+        for client in [c for c in self.connections if now - c.last_request_at < RECENT_REQUEST_US]:
+            client.settle_open_requests()
+
+    def is_quiet(self) -> bool:
+        """Whether all answers are written and no request is on its way in.
 
-    def quiet(self) -> bool:
-        """All answers are written, and no request is on its way in. Guards the ones that take their time to
-        arrive: closing on them would fail them."""
-        return not self.unsent_bytes and not any(c.open or c.began for c in self.connections)
+        Requests that take their time to arrive count: closing on them would fail them.
+        """
+        return not self.unsent_bytes and not any(c.open_requests or c.waiting_since for c in self.connections)
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         self.close_listener()
         for client in list(self.connections):
             client.close(CloseReason.SHUTDOWN)
--- a/onyxpulley/config.py
+++ b/onyxpulley/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells the program: GW_NAME, GW_LISTEN and the file GW_CONFIG."""
+"""The configuration that the platform gives: GW_NAME, GW_LISTEN, GW_CONSOLE and the JSON file GW_CONFIG."""
 
 from __future__ import annotations
 
@@ -10,20 +10,16 @@
 from onyxpulley.settings import read_settings
 from onyxpulley.system_calls import Meaning, meaning_of
 
-RESERVED_DESCRIPTORS = (
-    40  # descriptors for the listeners, the console's callers, the bulletin, the loop, the log and a file
-)
+RESERVED_DESCRIPTORS = 40  # listeners, console connections, discovery, the event loop, the log and a file
 
-BASE_MEMORY_BYTES = 26e6  # bytes of the program before its first request
-MIN_LISTED_SERVERS, SERVER_ENTRY_BYTES = (
-    1024,
-    512,
-)  # servers that any configuration has room for; bytes of one with the longest id
-OBJECT_ENTRY_BYTES = 900  # bytes of an object in all tables of the decisions together
+BASE_MEMORY_BYTES = 26e6  # of the process before its first request
+MIN_LISTED_SERVERS = 1024  # that any configuration has room for
+SERVER_ENTRY_BYTES = 512  # of one server in a list from discovery, with the longest id
+OBJECT_ENTRY_BYTES = 900  # of one object, in all tables of the decisions together
 
 
 class BadConfig(Exception):
-    """One clear line for the operator."""
+    """A configuration that cannot be used. The message is one line for the operator."""
 
 
 class ConfigTemporarilyUnreadable(BadConfig):
@@ -32,63 +28,72 @@
 
 @dataclass(slots=True)
 class Limits:
-    connect_timeout: float
-    idle_timeout: float
-    streams_per_connection: int
-    sockets: int
-    most_open: int
-    copy_bytes: int  # bytes of copies of its own
-    bodies: int  # bytes that open requests may have brought together
-    memo_entries: int  # entries of each table of objects that the decisions keep
-    partial_message_bytes: int  # bytes of messages of clients that are not whole
-    queued_answer_bytes: int  # bytes that queued answers may hold together
-    client_connections: int  # connections of clients, all fronts together
-    server_connections: int  # connections to servers, all together
-    bulletin_line_bytes: int  # bytes of one line of the bulletin: a whole list is one
+    """Limits on connections, memory and times, most of them derived from what the platform grants."""
+
+    connect_timeout: float  # seconds, to a server
+    idle_timeout: float  # seconds, of connections to servers
+    streams_per_connection: int  # open requests on one connection to a server
+    sockets: int  # descriptors that the platform grants
+    most_open: int  # open requests
+    copy_bytes: int  # of the router's own copies
+    bodies: int  # bytes of the bodies of all open requests
+    memo_entries: int  # in each table of objects that the decisions keep
+    partial_message_bytes: int  # of incomplete messages from clients
+    queued_answer_bytes: int  # of all answers that clients have not read yet
+    client_connections: int  # of all fronts together
+    server_connections: int  # to all servers together
+    bulletin_line_bytes: int  # of one line from discovery; a whole list is one line
     drain_timeout: float  # seconds from SIGTERM to the last answer
-    signature_boxes: frozenset[str] = frozenset()
+    signature_boxes: frozenset[str] = frozenset()  # ids of servers that want signatures
 
     def update_from(self, other: Limits) -> None:
-        """All figures of another one, in place: whoever holds this one goes by them from now on."""
-        for item in fields(self):
-            setattr(self, item.name, getattr(other, item.name))
+        """Copies all values in place, so that they take effect wherever this object is held."""
+        for field in fields(self):
+            setattr(self, field.name, getattr(other, field.name))
 
 
 @dataclass(slots=True)
 class Config:
+    """The configuration as it was read. Addresses are host and port."""
+
     name: str
     listen: tuple[str, int]
     console: tuple[str, int] | None  # the second address
     bulletin: tuple[str, int]
     seed: int
-    known_event_no: int
+    known_event_no: int  # number of the last event of discovery in `known_events`
     known_events: list[dict[str, Any]]
     settings: dict[str, Any]
     limits: Limits
-    flow_bytes_per_s: float  # bytes a second of one transfer of its own
-    link_bytes_per_s: float  # the same of all transfers together
+    flow_bytes_per_s: float  # of one transfer from the router
+    link_bytes_per_s: float  # of all its transfers together
 
     @property
     def concurrent_transfers(self) -> float:
-        """How many transfers of its own fit on its link at full pace."""
+        """How many transfers at full rate fit on the router's link; 0 if the rate is not configured."""
         return self.link_bytes_per_s / self.flow_bytes_per_s if self.flow_bytes_per_s > 0 else 0.0
 
 
 def parse_address(text: str, what: str) -> tuple[str, int]:
-    host, mark, port = text.rpartition(":")
-    if not mark or not host or not port.isdigit() or not 0 < int(port) < 65536:
+    """Splits host:port, with or without brackets round the host. Raises BadConfig, which names `what`."""
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise BadConfig(f"{what} is not host:port: {text!r}")
     return host.strip("[]"), int(port)
 
 
 def load(env: Mapping[str, str]) -> Config:
+    """Reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN and GW_CONSOLE override it.
+
+    Raises BadConfig, and of that ConfigTemporarilyUnreadable where another try may succeed.
+    """
     path = env.get("GW_CONFIG", "")
     if not path:
         raise BadConfig("GW_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             table = json.load(file)
-        return _read(table, env)
+        return _parse(table, env)
     except OSError as problem:
         kind = ConfigTemporarilyUnreadable if meaning_of(problem) is Meaning.LOCAL else BadConfig
         raise kind(f"cannot read {path}: {problem.strerror}") from problem
@@ -96,13 +101,13 @@
         raise BadConfig(f"{path}: {type(problem).__name__}: {problem}") from problem
 
 
-def _read(table: dict[str, Any], env: Mapping[str, str]) -> Config:
+def _parse(table: dict[str, Any], env: Mapping[str, str]) -> Config:
     settings = table["settings"]
-    read_settings(settings)  # what the decisions cannot read is a bad file, at the start and at a reload
+    read_settings(settings)  # raises here, at the start and at a reload, if the decisions cannot read them
     bounds = settings.get("bounds", {})
     limits = table.get("limits", {})
     classes = settings["classes"]
-    longest = max(int(c["deadline"]) for c in classes) / 1e6
+    longest_deadline = max(int(c["deadline"]) for c in classes) / 1e6
     console = env.get("GW_CONSOLE") or str(table.get("console") or "")
     known = table.get("known") or {"no": 0, "items": []}
     return Config(
@@ -114,16 +119,17 @@
         known_event_no=int(known["no"]),
         known_events=list(known["items"]),
         settings=settings,
-        limits=derive_limits(limits, bounds, longest),
+        limits=derive_limits(limits, bounds, longest_deadline),
         flow_bytes_per_s=float(table.get("flow_bytes_per_s", 0)),
         link_bytes_per_s=float(table.get("link_bytes_per_s", 0)),
     )
 
 
-def derive_limits(limits: dict[str, Any], bounds: dict[str, Any], longest: float) -> Limits:
-    """Every bound, from what the platform grants and what the settings allow. `longest`: of the deadlines."""
-    sockets = int(limits.get("sockets", 1024))
-    memory = float(limits.get("memory_mb", 192)) * 1e6
+def derive_limits(granted: dict[str, Any], bounds: dict[str, Any], longest_deadline: float) -> Limits:
+    """Derives all limits from the file's `limits`, the settings' `bounds` and the longest deadline of a class
+    in seconds."""
+    sockets = int(granted.get("sockets", 1024))
+    memory = float(granted.get("memory_mb", 192)) * 1e6
     free = max(4e6, memory - BASE_MEMORY_BYTES)
     return Limits(
         connect_timeout=int(bounds.get("connectTimeout", 400_000)) / 1e6,
@@ -139,5 +145,5 @@
         client_connections=max(1, sockets // 2),
         server_connections=max(8, sockets - sockets // 2 - RESERVED_DESCRIPTORS),
         bulletin_line_bytes=max(MIN_LISTED_SERVERS * SERVER_ENTRY_BYTES, int(free / 16)),
-        drain_timeout=min(3.0, longest) + 0.4,
+        drain_timeout=min(3.0, longest_deadline) + 0.4,
     )
--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -1,4 +1,4 @@
-"""The second address: one line in, one answer, the end. For the staff's tools and the platform."""
+"""The second address, for the staff's tools and the platform: one command line, one answer, then the end."""
 
 from __future__ import annotations
 
@@ -13,36 +13,39 @@
 from onyxpulley.listeners import Listener
 from onyxpulley.streams import SocketStream
 
-CALLS = 16  # connections at a time
-LINE = 256
-WHOLE = 5_000_000  # us in which the line is there
-STALL = 5.0  # seconds that an answer may stay unread
+MAX_CONNECTIONS = 16
+MAX_LINE_BYTES = 256
+LINE_TIMEOUT_US = 5_000_000  # for the whole line to arrive
+SEND_TIMEOUT_S = 5.0
 
-Metric = tuple[str, int, str]  # its name, value and kind: "c" counts up, "g" goes up and down
+Metric = tuple[str, int, str]  # name, value and kind: "c" is a counter, "g" a gauge
 
 
-def format_statsd(figures: Iterable[Metric]) -> bytes:
-    return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in figures).encode()
+def format_statsd(rows: Iterable[Metric]) -> bytes:
+    """The metrics as lines of StatsD, each name behind `app.`."""
+    return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in rows).encode()
 
 
 class ConsoleConnection:
-    """One connection, one call."""
+    """One connection, which carries one command."""
 
     def __init__(self, console: Console, sock: socket.socket) -> None:
-        self.console, self.stream, self.began = console, SocketStream(sock, "console"), now_us()
-        self.buffer = Buffer(LINE, LINE)
-        self.called = False  # the whole line came
+        self.console = console
+        self.stream = SocketStream(sock, "console")
+        self.connected_at = now_us()
+        self.buffer = Buffer(MAX_LINE_BYTES, MAX_LINE_BYTES)
+        self.line_received = False
         self.task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
         try:
-            while (line := self.buffer.line(LINE - 1)) is None:
-                got = await self.stream.receive_into(self.buffer.room())
-                if not got:
+            while (line := self.buffer.line(MAX_LINE_BYTES - 1)) is None:
+                received = await self.stream.receive_into(self.buffer.room())
+                if not received:
                     return
-                self.buffer.end += got
-            self.called = True
-            await self._send(self.console.answer(line))
+                self.buffer.end += received
+            self.line_received = True
+            await self._send(self.console.execute(line))
         except BufferError:
             with contextlib.suppress(OSError, TimeoutError):
                 await self._send(b"400 line too long\n")
@@ -52,10 +55,11 @@
             self.close()
 
     async def _send(self, data: bytes) -> None:
-        async with asyncio.timeout(STALL):
+        async with asyncio.timeout(SEND_TIMEOUT_S):
             await self.stream.send_all(data)
 
     def close(self) -> None:
+        """Closes the connection and ends its task."""
         self.console.connections.discard(self)
         if self.task is not asyncio.current_task():
             self.task.cancel()
@@ -63,48 +67,59 @@
 
 
 class Console(Listener):
-    """The calls. `fit`: ready to serve; `pause` and `resume` give what stands in the way, or nothing."""
+    """The listener of the second address, and its commands.
+
+    `is_ready` tells whether the router takes new work. `pause` and `resume` return why they cannot be carried
+    out, or an empty string.
+    """
 
     def __init__(
         self,
-        fit: Callable[[], bool],
-        figures: Callable[[], Iterable[Metric]],
+        is_ready: Callable[[], bool],
+        read_metrics: Callable[[], Iterable[Metric]],
         pause: Callable[[], str],
         resume: Callable[[], str],
     ) -> None:
         super().__init__()
-        self.fit, self.figures = fit, figures
-        self.calls = {"PAUSE": pause, "RESUME": resume}
+        self.is_ready = is_ready
+        self.read_metrics = read_metrics
+        self.commands = {"PAUSE": pause, "RESUME": resume}
         self.connections: set[ConsoleConnection] = set()
 
-    def answer(self, line: bytes) -> bytes:
+    def execute(self, line: bytes) -> bytes:
+        """Carries out one command and returns its answer."""
         word = line.decode("ascii", "replace").strip()
         if word == "STATUS":
-            return b"200 ready\n" if self.fit() else b"400 not ready\n"
+            return b"200 ready\n" if self.is_ready() else b"400 not ready\n"
         if word == "METRICS":
-            return format_statsd(self.figures()) + b"EOF\n"
+            return format_statsd(self.read_metrics()) + b"EOF\n"
         if word == "COUNTERS":
             return format_statsd((name, value, "c") for name, value in metrics.counters()) + b"EOF\n"
-        if word not in self.calls:
+        if word not in self.commands:
             return b"400 unknown call\n"
-        problem = self.calls[word]()
+        problem = self.commands[word]()
         return f"400 {problem}\n".encode() if problem else b"200 ok\n"
 
     def admit(self) -> bool:
-        """Guards against callers that hold a connection: the one that has waited longest makes way."""
-        if len(self.connections) >= CALLS:
-            min(self.connections, key=lambda c: (c.called, c.began)).close()
+        """Always true: at the limit the oldest connection is closed, first of those without a whole line."""
+        if len(self.connections) >= MAX_CONNECTIONS:
+            min(self.connections, key=lambda c: (c.line_received, c.connected_at)).close()
         return True
 
     def add_connection(self, sock: socket.socket) -> None:
+        """Starts to serve an accepted connection."""
         self.connections.add(ConsoleConnection(self, sock))
 
     def sweep(self) -> None:
+        """Closes connections whose line did not arrive in time."""
         now = now_us()
-        for caller in [c for c in self.connections if not c.called and now - c.began > WHOLE]:
-            caller.close()
+        for connection in [
+            c for c in self.connections if not c.line_received and now - c.connected_at > LINE_TIMEOUT_US
+        ]:
+            connection.close()
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         self.close_listener()
-        for caller in list(self.connections):
-            caller.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/onyxpulley/listeners.py
+++ b/onyxpulley/listeners.py
@@ -1,4 +1,4 @@
-"""A listening socket and its loop, as every front has one."""
+"""Listening sockets: the accept loop that all fronts share, and eviction of idle connections."""
 
 from __future__ import annotations
 
@@ -15,52 +15,70 @@
 from onyxpulley.streams import close_quietly
 from onyxpulley.system_calls import Meaning, meaning_of, next_pause
 
-SILENT_CONNECTION_WEIGHT = (
-    4  # times that silence counts on a connection that never said anything: half fails slow requests
-)
-FIRST_REQUEST_GRACE_US = 1_000_000  # us that a connection without a request is left when the router leaves
-AT_ONCE = 512  # connections in a row that were given up before they were accepted: a whole queue
-EMPTY_WITHIN = 500_000  # us in which the queue of new connections is emptied at the end
-ATTACH = 51  # SO_ATTACH_REUSEPORT_CBPF, which the socket module does not name
-RETURN = 0x06  # BPF_RET | BPF_K: the whole program is "socket K of the group"
+# Idle time counts this many times on a connection on which nothing was ever received. With 2, requests that
+# are slow to arrive fail, because their connections are evicted first.
+SILENT_CONNECTION_WEIGHT = 4
+FIRST_REQUEST_GRACE_US = 1_000_000  # for which a drain spares a connection that has made no request yet
+# Accepts that fail in a row and are repeated without a pause, as many as the listen queue holds: each may
+# stand for one connection that was given up before it was accepted.
+MAX_IMMEDIATE_RETRIES = 512
+ACCEPT_QUEUE_TIMEOUT_US = 500_000  # for accepting what is queued before the socket is closed
+SO_ATTACH_REUSEPORT_CBPF = 51  # missing from the socket module
+BPF_RET_K = 0x06  # BPF_RET | BPF_K; as the whole program: "socket K of the group"
 
 
 def prefer_latest(sock: socket.socket) -> None:
-    """Of two sockets of one address the later takes all new connections; one alone is out of the filter's
-    range, and the kernel takes that one. Guards an old version's queue against being reset when it closes."""
-    program = ctypes.create_string_buffer(struct.pack("HBBI", RETURN, 0, 0, 1))
-    with contextlib.suppress(OSError):  # where there are no such filters, new connections are spread
-        sock.setsockopt(socket.SOL_SOCKET, ATTACH, struct.pack("HP", 1, ctypes.addressof(program)))
+    """Makes the latest of two sockets with one address take all new connections.
+
+    Otherwise those in the queue of the old process would be reset when it closes its socket. The filter picks
+    the second socket; with only one, that index is out of range and the kernel uses the one there is.
+    """
+    program = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RET_K, 0, 0, 1))
+    with contextlib.suppress(OSError):  # without such filters new connections are spread over both
+        sock.setsockopt(
+            socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, ctypes.addressof(program))
+        )
 
 
 class EvictableConnection(Protocol):
-    """A connection that may have to make way for another one, whatever its front."""
+    """A connection of any front that may be closed to make room for another one."""
+
+    def all_answered(self) -> bool:
+        """Whether no request is open and no answer unsent."""
+        ...
+
+    def eviction_age(self, now: int) -> int:
+        """Microseconds of idle time, weighted on a connection on which nothing was ever received."""
+        ...
 
-    def all_answered(self) -> bool: ...
-    def eviction_age(self, now: int) -> int: ...
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the connection."""
+        ...
 
 
-def evict_one(holders: Iterable[EvictableConnection], now: int) -> bool:
-    """Closes the one that has been still for longest, of those to whom nothing is owed. Guards requests that
-    are slow to arrive: they and those that wait for their next one outlast the silent."""
-    spare = [holder for holder in holders if holder.all_answered()]
-    if spare:
-        max(spare, key=lambda holder: holder.eviction_age(now)).close()
-    return bool(spare)
+def evict_one(connections: Iterable[EvictableConnection], now: int) -> bool:
+    """Closes the longest idle of the connections on which everything is answered; False if there is none.
+
+    Connections that wait for a slow or a next request outlast those that never sent anything.
+    """
+    evictable = [connection for connection in connections if connection.all_answered()]
+    if evictable:
+        max(evictable, key=lambda connection: connection.eviction_age(now)).close()
+    return bool(evictable)
 
 
 class Listener:
-    """`admit` says whether one more connection has room; `add_connection` takes it."""
+    """A listening socket and its accept loop. Subclasses implement `admit` and `add_connection`."""
 
     def __init__(self) -> None:
         self.sock: socket.socket | None = None
-        self.accepting: asyncio.Task[None] | None = None
-        self.failing_since = 0  # us, since when connections may have waited because accepting failed
-        self.failures = 0  # of accepts, since the queue was last empty
-        self.pause = 0.0  # seconds before the next try
+        self.accept_task: asyncio.Task[None] | None = None
+        self.failing_since = 0  # monotonic us since when connections may wait as accepting fails, or 0
+        self.failures = 0  # failed accepts since the queue was last empty
+        self.retry_delay = 0.0  # seconds
 
     def listen(self, address: tuple[str, int]) -> None:
+        """Binds and listens. Raises OSError."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -69,52 +87,58 @@
         try:
             sock.bind(address)
             sock.listen(512)
-            prefer_latest(sock)  # not before: a socket with a group of its own can join no other
+            prefer_latest(sock)  # only now: a socket that forms a group of its own can join no other
         except OSError:
             sock.close()
             raise
         self.sock = sock
 
     async def accept(self) -> None:
-        self.accepting = asyncio.current_task()
+        """Accepts connections until cancelled."""
+        self.accept_task = asyncio.current_task()
         assert self.sock is not None
         loop = asyncio.get_running_loop()
         while True:
             try:
                 sock, _ = await loop.sock_accept(self.sock)
             except OSError as problem:
-                self._failed(problem)
-                await asyncio.sleep(self.pause)
+                self._accept_failed(problem)
+                await asyncio.sleep(self.retry_delay)
                 continue
-            self._take(sock)
+            self._handle_accepted(sock)
             if self.failing_since and not self._empty_queue():
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.retry_delay)
+
+    def _accept_failed(self, problem: OSError) -> None:
+        """Logs the failure and sets the delay before the next try.
 
-    def _failed(self, problem: OSError) -> None:
-        """One connection that was given up says nothing of those behind it; else the next try waits."""
+        There is no delay where only that connection was given up: others may be queued behind it.
+        """
         metrics.count_failed_call("accept", problem)
         logs.event("listener", "accept_failed", why=problem)
         self.failing_since = self.failing_since or now_us()
         self.failures += 1
-        at_once = meaning_of(problem) is not Meaning.LOCAL and self.failures <= AT_ONCE
-        self.pause = 0.0 if at_once else next_pause(self.pause)
+        at_once = meaning_of(problem) is not Meaning.LOCAL and self.failures <= MAX_IMMEDIATE_RETRIES
+        self.retry_delay = 0.0 if at_once else next_pause(self.retry_delay)
 
     def _empty_queue(self) -> bool:
-        """Takes all connections that wait. False where an accept failed with others behind it."""
+        """Accepts all queued connections. False if an accept failed, so that others may still be queued."""
         while self.sock is not None:
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 break
             except OSError as problem:
-                self._failed(problem)
+                self._accept_failed(problem)
                 return False
             sock.setblocking(False)
-            self._take(sock)
-        self.failing_since, self.failures, self.pause = 0, 0, 0.0
+            self._handle_accepted(sock)
+        self.failing_since = 0
+        self.failures = 0
+        self.retry_delay = 0.0
         return True
 
-    def _take(self, sock: socket.socket) -> None:
+    def _handle_accepted(self, sock: socket.socket) -> None:
         if self.admit():
             self.add_connection(sock)
         else:
@@ -122,23 +146,26 @@
             close_quietly(sock)
 
     def admit(self) -> bool:
+        """Whether one more connection has room; may close another one for it."""
         raise NotImplementedError
 
     def add_connection(self, sock: socket.socket) -> None:
+        """Starts to serve an accepted connection."""
         raise NotImplementedError
 
     async def stop_listening(self) -> None:
-        """What the machine accepted already is taken first: closing the socket would reset it."""
-        if self.accepting is not None:  # uvloop keeps the socket open while an accept is under way
-            self.accepting.cancel()
-        end = now_us() + EMPTY_WITHIN
+        """Accepts what is still queued, which closing the socket would reset, and closes it."""
+        if self.accept_task is not None:  # uvloop keeps the socket open while an accept is under way
+            self.accept_task.cancel()
+        end = now_us() + ACCEPT_QUEUE_TIMEOUT_US
         while not self._empty_queue() and now_us() < end:
-            await asyncio.sleep(self.pause)
+            await asyncio.sleep(self.retry_delay)
         self.close_listener()
 
     def close_listener(self) -> None:
-        if self.accepting is not None:
-            self.accepting.cancel()
+        """Stops accepting and closes the socket, also if it was never opened."""
+        if self.accept_task is not None:
+            self.accept_task.cancel()
         if self.sock is not None:
             close_quietly(self.sock)
             self.sock = None
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -1,4 +1,4 @@
-"""The program from start to exit: one object in named phases."""
+"""The program from start to exit, in named phases: fronts, discovery, reloads, pausing and draining."""
 
 from __future__ import annotations
 
@@ -37,113 +37,133 @@
     from onyxpulley.operator import Operator
     from onyxpulley.spiffe.trust import Keeper
 
-LINGER = 0.8  # seconds after SIGTERM or PAUSE in which new connections may still come
-REFUSE = 1.8  # seconds after which clients that still ask on their connection are refused
-REFUSE_PART = 0.5  # the same as a part of the drain, where deadlines are short
-FLUSH = 0.25  # seconds for the last answers to leave: the platform ends the process 0.05 s later
-DRAIN_POLL = 0.005  # seconds between two looks for the end of the drain
-SETTLE = 3.4  # seconds after PAUSE at which those that go on asking get their last answers
-SWEEP = 0.1
-RELOAD_TRIES, RELOAD_AGAIN = 50, 0.1  # reads of a configuration, and seconds between two of them
-START_WITHIN = 5.0  # seconds in which what fails at the start for a reason that may pass is tried again
-SIGNALS = (signal.SIGHUP, signal.SIGTERM)
-HTTP = 96  # connections of one front: bounds what slow readers hold
+# Steps of a drain, in seconds after SIGTERM or PAUSE
+LINGER_S = 0.8  # new connections may still come until then; idle ones are closed from then on
+REFUSE_AFTER_S = 1.8  # requests on connections that are still open are refused from then on
+REFUSE_AFTER_SHARE = 0.5  # the same as a share of the drain's time, for configurations with short deadlines
+SETTLE_AFTER_S = 3.4  # after PAUSE: clients that go on sending requests get their final answers
+
+FLUSH_S = 0.25  # for the last answers to be sent; the platform kills the process 0.05 s later
+DRAIN_POLL_S = 0.005  # between two checks for the end of the drain
+SWEEP_INTERVAL_S = 0.1
+RELOAD_ATTEMPTS = 50  # to read a configuration file that is temporarily unreadable
+RELOAD_RETRY_DELAY_S = 0.1
+START_RETRY_LIMIT_S = 5.0  # for which the start repeats what fails for a reason that may pass
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
+MAX_HTTP_CONNECTIONS = 96  # of each HTTP front; bounds the memory that slow readers hold
 
 
 class Phase(Enum):
-    STARTING = "starting"  # until the bulletin spoke, or long enough: what is known may be old
+    """Where the program is between its start and its end."""
+
+    STARTING = "starting"  # until discovery has answered, or long enough: the known servers may be outdated
     SERVING = "serving"
     PAUSED = "paused"  # drained by the staff, until they resume
-    LINGERING = "lingering"  # SIGTERM came; the front still sends
-    DRAINING = "draining"  # nothing new comes; the rest is answered
+    LINGERING = "lingering"  # SIGTERM arrived; clients may still send new work
+    DRAINING = "draining"  # no new connections; what is open is answered
     STOPPED = "stopped"
 
 
 class Program:
-    def __init__(self, conf: config.Config, operator: Operator | None = None) -> None:
-        self.conf, self.phase, self.operator = conf, Phase.STARTING, operator
+    """All parts of the running program and the phases that it goes through."""
+
+    def __init__(self, configuration: config.Config, operator: Operator | None = None) -> None:
+        self.config = configuration
+        self.phase = Phase.STARTING
+        self.operator = operator
+        limits = configuration.limits
         if operator is not None:
-            conf.limits.signature_boxes = operator.boxes
-        self.facade = Facade(conf.settings, conf.seed, conf.concurrent_transfers, conf.limits.memo_entries)
-        self.servers = Servers(conf.limits)
-        self.exchange = Exchange(self.facade, self.servers, conf.limits, Copies(conf.limits.copy_bytes))
-        self.servers.exchange, self.servers.saw_copy = self.exchange, self.facade.platform.saw_copy
+            limits.signature_boxes = operator.boxes
+        self.facade = Facade(
+            configuration.settings,
+            configuration.seed,
+            configuration.concurrent_transfers,
+            limits.memo_entries,
+        )
+        self.servers = Servers(limits)
+        self.exchange = Exchange(self.facade, self.servers, limits, Copies(limits.copy_bytes))
+        self.servers.exchange = self.exchange
+        self.servers.saw_copy = self.facade.platform.saw_copy
         self.bulletin = Bulletin(
-            conf.bulletin,
-            conf.seed,
-            conf.limits.bulletin_line_bytes,
+            configuration.bulletin,
+            configuration.seed,
+            limits.bulletin_line_bytes,
             self.facade,
             self.exchange,
             self.servers,
         )
         self.exchange.read_pending = self.bulletin.read_pending
-        self.clients = PlatformFront(self.exchange, self.facade.classes, conf.limits)
-        self.term = asyncio.Event()
-        self.fronts: list[Front] = []
-        self.console = Console(lambda: self.clients.fit, self.figures, self.pause, self.resume)
-        self.since = 0.0  # when it began to leave
-        self.held = False  # told to pause, maybe while it started
-        self.reloads = {"applied": 0, "rejected": 0}
-        self.clients.other_connections = lambda: sum(len(front.tasks) for front in self.fronts)
-        self.clients.evictable_elsewhere = lambda: [c for f in self.fronts if f.public for c in f.all]
-        self.keeper: Keeper | None = None  # of identities, where the operator's file has some
+        self.platform_front = PlatformFront(self.exchange, self.facade.classes, limits)
+        self.stop_requested = asyncio.Event()
+        self.http_fronts: list[HttpFront] = []
+        self.console = Console(lambda: self.platform_front.ready, self.read_metrics, self.pause, self.resume)
+        self.drain_started = 0.0  # monotonic seconds
+        self.pause_requested = False  # may be set during the start
+        self.reload_counts = {"applied": 0, "rejected": 0}
+        self.platform_front.other_connections = lambda: sum(len(front.tasks) for front in self.http_fronts)
+        self.platform_front.evictable_elsewhere = lambda: [
+            connection for front in self.http_fronts if front.public for connection in front.connections
+        ]
+        self.keeper: Keeper | None = None  # of identities, where the operator's file configures them
         self.tasks: list[asyncio.Task[None]] = []
         self.recorder: Recorder | None = None
 
     def enter(self, phase: Phase) -> None:
+        """Enters a phase, records and logs it."""
         self.phase = phase
-        cold = self.facade.settings.cold_time / 1e6 if phase is Phase.STARTING else 0.0
-        self.note("phase", phase.value, cold)
-        self.clients.fit = self.fit()
-        logs.say(f"{self.conf.name}: {phase.value}")
+        cold_s = self.facade.settings.cold_time / 1e6 if phase is Phase.STARTING else 0.0
+        self.record("phase", phase.value, cold_s)
+        self.platform_front.ready = self.is_ready()
+        logs.say(f"{self.config.name}: {phase.value}")
 
-    def fit(self) -> bool:
-        """Takes new work: serving, and able to show the servers who it is."""
+    def is_ready(self) -> bool:
+        """Whether the router takes new work: it is serving and can prove its identity to servers."""
         return self.phase is Phase.SERVING and (self.keeper is None or self.keeper.ready())
 
     async def run(self) -> int:
+        """Runs the program to its end and returns its exit code. Raises BadConfig."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.term.set)
-        loop.add_signal_handler(signal.SIGINT, self.term.set)
+        loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self.stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         loop.set_exception_handler(self._callback_failed)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        return await self._phases()
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+        return await self._run_phases()
 
     @staticmethod
     def _callback_failed(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What failed in a callback of the loop, which has no caller to be told."""
+        """Counts and logs an exception in a callback of the loop, which has no caller to raise it to."""
         metrics.count("internal_error.callback")
         logs.event("loop", "callback_failed", what=context["message"], why=repr(context.get("exception")))
 
-    async def _phases(self) -> int:
-        self._recorded()
+    async def _run_phases(self) -> int:
+        self._start_recorder()
         self.enter(Phase.STARTING)
         try:
-            self.bulletin.known(self.conf.known_event_no, self.conf.known_events)
+            self.bulletin.known(self.config.known_event_no, self.config.known_events)
         except BAD as problem:
             raise config.BadConfig(f"known: bad event: {problem!r}") from problem
         fronts: list[tuple[Listener, tuple[str, int] | None]]
-        fronts = [(self.console, self.conf.console), (self.clients, self.conf.listen)]
+        fronts = [(self.console, self.config.console), (self.platform_front, self.config.listen)]
         for front, address in fronts:
             if address is not None:
                 await self._listen(front, address)
-        self._operated()
+        self._start_operator_fronts()
         tasks = [
             *self.tasks,
-            *([asyncio.create_task(self.console.accept())] if self.conf.console else []),
-            *(asyncio.create_task(front.accept()) for front in self.fronts),
+            *([asyncio.create_task(self.console.accept())] if self.config.console else []),
+            *(asyncio.create_task(front.accept()) for front in self.http_fronts),
             asyncio.create_task(self.bulletin.follow()),
-            asyncio.create_task(self.clients.accept()),
+            asyncio.create_task(self.platform_front.accept()),
             asyncio.create_task(self._sweep()),
         ]
-        stop = asyncio.create_task(self.term.wait())
+        stop = asyncio.create_task(self.stop_requested.wait())
         caught_up = asyncio.create_task(self.bulletin.caught_up.wait())
         await asyncio.wait([stop, caught_up, *tasks], timeout=UP, return_when=asyncio.FIRST_COMPLETED)
         caught_up.cancel()
         if not stop.done():
-            self.since = monotonic()
-            self.enter(Phase.PAUSED if self.held else Phase.SERVING)
+            self.drain_started = monotonic()
+            self.enter(Phase.PAUSED if self.pause_requested else Phase.SERVING)
         done, _ = await asyncio.wait([stop, *tasks], return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             if task is not stop:
@@ -151,9 +171,9 @@
         await self._drain()
         for task in tasks:
             task.cancel()
-        self.clients.close()
-        for front in self.fronts:
-            front.close()
+        self.platform_front.close()
+        for http_front in self.http_fronts:
+            http_front.close()
         self.console.close()
         self.servers.close()
         self.enter(Phase.STOPPED)
@@ -163,8 +183,8 @@
 
     @staticmethod
     async def _listen(front: Listener, address: tuple[str, int]) -> None:
-        """Raises BadConfig where the address cannot be listened on."""
-        end = monotonic() + START_WITHIN
+        """Listens, repeatedly where the machine lacks something for a moment. Raises BadConfig."""
+        end = monotonic() + START_RETRY_LIMIT_S
         while True:
             try:
                 return front.listen(address)
@@ -172,57 +192,64 @@
                 metrics.count_failed_call("listen", problem)
                 if meaning_of(problem) is not Meaning.LOCAL or monotonic() > end:
                     raise config.BadConfig(f"cannot listen on {address}: {problem}") from problem
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+
+    def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
+        """Reads GW_CONFIG again on SIGHUP, in any phase.
 
-    def reload(self, tries: int = RELOAD_TRIES) -> None:
-        """SIGHUP, in any phase: reads GW_CONFIG anew. All of a file that can be used counts, nothing of one
-        that can't; requests and connections stay. Guards against dying of the signal. A file that cannot be
-        read for a moment is read again, `tries` times in all."""
-        old = self.conf
+        A usable file takes effect as a whole, any other one not at all; open requests and connections stay. A
+        file that is temporarily unreadable is read up to `attempts` times. Nothing is raised: an exception
+        would end the program.
+        """
+        old = self.config
         try:
             new = config.load(os.environ)
             if (new.name, new.listen) != (old.name, old.listen):
-                raise config.BadConfig("name and listen take a restart")
+                raise config.BadConfig("a change of name or listen needs a restart")
             self.facade.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
         except config.BadConfig as problem:
-            if isinstance(problem, config.ConfigTemporarilyUnreadable) and tries > 1:
-                asyncio.get_running_loop().call_later(RELOAD_AGAIN, self.reload, tries - 1)
+            if isinstance(problem, config.ConfigTemporarilyUnreadable) and attempts > 1:
+                asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY_S, self.reload, attempts - 1)
                 return
-            self.reloads["rejected"] += 1
-            self.note("reload", "rejected")
+            self.reload_counts["rejected"] += 1
+            self.record("reload", "rejected")
             logs.say(f"{old.name}: reload: kept the old settings: {problem}")
             return
-        new.limits.signature_boxes = old.limits.signature_boxes  # of the operator's file
+        new.limits.signature_boxes = old.limits.signature_boxes  # from the operator's file
         old.limits.update_from(new.limits)
-        new.limits, self.conf = old.limits, new
+        new.limits = old.limits
+        self.config = new
         self.exchange.copies.shrink(new.limits.copy_bytes)
-        self.clients.classes = self.facade.classes
+        self.platform_front.classes = self.facade.classes
         self.bulletin.move(new.bulletin)
-        self.reloads["applied"] += 1
-        self.note("reload", "applied")
+        self.reload_counts["applied"] += 1
+        self.record("reload", "applied")
         host, port = new.bulletin
         logs.say(f"{new.name}: reloaded, bulletin {host}:{port} after {self.bulletin.no}")
 
-    # ---- The staff's calls
+    # ---- Commands at the second address
     def pause(self) -> str:
-        """Drains, and goes on when told to. Says so at once; what follows is `_retreat`."""
-        self.held = True
+        """Begins a drain that lasts until `resume`. Returns at once; `_advance_drain` carries it out."""
+        self.pause_requested = True
         if self.phase is Phase.SERVING:
-            self.since = monotonic()
+            self.drain_started = monotonic()
             self.enter(Phase.PAUSED)
         return ""
 
     def resume(self) -> str:
-        self.held = False
-        if self.phase is Phase.STARTING:  # what was said meanwhile is taken back
+        """Serves again after `pause`. Returns why it cannot, or an empty string."""
+        self.pause_requested = False
+        if self.phase is Phase.STARTING:  # a pause that was requested meanwhile is withdrawn
             return ""
         if self.phase is Phase.PAUSED:
-            self.clients.leaving = self.exchange.closing = False
+            self.platform_front.draining = self.exchange.closing = False
             self.enter(Phase.SERVING)
         return "" if self.phase is Phase.SERVING else f"it is {self.phase.value}"
 
-    def figures(self) -> list[Metric]:
-        answers, (known, avoided) = self.exchange.answers, self.facade.listed()
+    def read_metrics(self) -> list[Metric]:
+        """The metrics that METRICS shows."""
+        answers = self.exchange.answers
+        known, avoided = self.facade.listed()
         rows: list[Metric] = []
         for cls in sorted({*self.facade.classes, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
@@ -237,30 +264,40 @@
             ("outstanding", len(self.exchange.open), "g"),
             ("discovered", known, "g"),
             ("ejected", avoided, "g"),
-            ("sighup_applied", self.reloads["applied"], "c"),
-            ("sighup_rejected", self.reloads["rejected"], "c"),
+            ("sighup_applied", self.reload_counts["applied"], "c"),
+            ("sighup_rejected", self.reload_counts["rejected"], "c"),
             *(self.keeper.figures() if self.keeper is not None else ()),
         ]
 
-    def _retreat(self) -> None:
-        """The steps of leaving, alike after PAUSE and SIGTERM: clients go as they fall idle, what still comes
-        is refused, and who never falls idle gets its last answers."""
+    def _advance_drain(self) -> None:
+        """Takes the steps of a drain that are due, alike after PAUSE and SIGTERM.
+
+        Connections are closed as they fall idle, then new requests are refused, and at last clients that
+        always have a request open get their final answers.
+        """
         if self.phase in (Phase.STARTING, Phase.SERVING):
             return
-        past = monotonic() - self.since
-        if past >= LINGER:
-            self.clients.leave()
-            for front in self.fronts:
-                front.leave()
-        self.exchange.closing = past >= min(REFUSE, REFUSE_PART * self.conf.limits.drain_timeout)
-        if past >= SETTLE and self.phase is Phase.PAUSED:
-            self.clients.settle()
-
-    def quiet(self) -> bool:
-        return self.clients.quiet() and all(c.idle() for f in self.fronts for c in f.all)
-
-    def _operated(self) -> None:
-        """The signed front and the administration API, where the operator's file sets them up."""
+        elapsed = monotonic() - self.drain_started
+        if elapsed >= LINGER_S:
+            self.platform_front.drain()
+            for front in self.http_fronts:
+                front.close_idle()
+        refuse_after = min(REFUSE_AFTER_S, REFUSE_AFTER_SHARE * self.config.limits.drain_timeout)
+        self.exchange.closing = elapsed >= refuse_after
+        if elapsed >= SETTLE_AFTER_S and self.phase is Phase.PAUSED:
+            self.platform_front.settle_recent_clients()
+
+    def is_quiet(self) -> bool:
+        """Whether no front has an open request, an unsent answer or a request on its way in."""
+        return self.platform_front.is_quiet() and all(
+            connection.idle() for front in self.http_fronts for connection in front.connections
+        )
+
+    def _start_operator_fronts(self) -> None:
+        """Starts the signed front and the administration API as the operator's file configures them.
+
+        Raises BadConfig.
+        """
         if self.operator is None:
             return
         from onyxpulley.admin import Admin
@@ -269,68 +306,77 @@
 
         operator = self.operator
         try:
-            self._identified(operator)
+            self._start_identities(operator)
             if operator.listen is not None:
                 signed = Signed(
                     operator.public, operator.tenants, self.exchange, self.facade, bool(operator.boxes)
                 )
                 callers = operator.identities.callers if operator.identities is not None else None
                 if callers is not None and self.keeper is not None:
-                    signed.keeper, signed.callers = self.keeper, callers
-                self.fronts.append(Front(operator.listen, signed.connection, self.clients, public=True))
-                signed.fit = lambda: self.clients.fit
-                signed.leaving = lambda: self.clients.leaving
+                    signed.keeper = self.keeper
+                    signed.callers = callers
+                self.http_fronts.append(
+                    HttpFront(operator.listen, signed.connection, self.platform_front, public=True)
+                )
+                signed.fit = lambda: self.platform_front.ready
+                signed.leaving = lambda: self.platform_front.draining
             if operator.admin is not None and self.keeper is not None:
                 admin = Admin(operator.tenants, self.keeper, operator.allow, self.status)
-                self.fronts.append(Front(operator.admin, admin.connection, self.clients))
+                self.http_fronts.append(HttpFront(operator.admin, admin.connection, self.platform_front))
         except ImportError as problem:
-            raise config.BadConfig(missing(problem, "identities")) from problem
+            raise config.BadConfig(missing_package(problem, "identities")) from problem
         except (OSError, BadIdentity) as problem:
             what = "cannot listen" if isinstance(problem, OSError) else "identity"
             raise config.BadConfig(f"operator's file: {what}: {problem}") from problem
 
-    def _recorded(self) -> None:
-        """Records from the first event on, where the operator's file wants them."""
+    def _start_recorder(self) -> None:
+        """Starts to keep records, from the first event on, if the operator's file asks for them.
+
+        Raises BadConfig.
+        """
         if self.operator is None or self.operator.records is None:
             return
         try:
             from onyxpulley.incident.hooks import attach
             from onyxpulley.incident.recorder import Recorder
         except ImportError as problem:
-            raise config.BadConfig(missing(problem, "incident")) from problem
+            raise config.BadConfig(missing_package(problem, "incident")) from problem
         try:
-            self.recorder = Recorder(self.conf.name, self.facade.settings.zone, self.operator.records)
+            self.recorder = Recorder(self.config.name, self.facade.settings.zone, self.operator.records)
         except OSError as problem:
             raise config.BadConfig(f"operator's file: records: {problem.strerror or problem}") from problem
         attach(self.recorder.tally, self.exchange, self.bulletin, self.facade)
 
-    def note(self, kind: str, cause: str, value: float = 0.0) -> None:
+    def record(self, kind: str, cause: str, value: float = 0.0) -> None:
+        """Adds one record, if records are kept."""
         if self.recorder is not None:
             from onyxpulley.incident.records import Kind
 
             self.recorder.tally.event(Kind(kind), cause=cause, value=value)
 
-    def _identified(self, operator: Operator) -> None:
-        """Who this router is and whom it trusts. Raises BadIdentity."""
+    def _start_identities(self, operator: Operator) -> None:
+        """Loads the router's own identity and those it trusts. Raises BadIdentity."""
         if operator.identities is None:
             return
         from onyxpulley.spiffe.trust import Keeper
 
         setup = operator.identities
-        self.keeper = keeper = Keeper(setup)
+        keeper = Keeper(setup)
+        self.keeper = keeper
         if setup.servers:
             self.servers.trust = keeper
         if setup.agent:
             from onyxpulley.spiffe.pace import Pace
             from onyxpulley.spiffe.workload import Agent
 
-            luck = random.Random(self.conf.seed).random
-            keeper.agent = Agent(setup.agent, Pace(luck), keeper.take, keeper.left, keeper.say)
+            jitter = random.Random(self.config.seed).random
+            keeper.agent = Agent(setup.agent, Pace(jitter), keeper.take, keeper.left, keeper.say)
             self.tasks.append(asyncio.create_task(keeper.agent.follow()))
 
     def status(self) -> dict[str, Any]:
+        """The router's part of the administration API's status."""
         return {
-            "name": self.conf.name,
+            "name": self.config.name,
             "phase": self.phase.value,
             "bulletin": self.bulletin.no,
             "servers": len(self.servers.pools),
@@ -344,127 +390,148 @@
 
     async def _sweep(self) -> None:
         for no in itertools.count():
-            await asyncio.sleep(SWEEP)
-            steps = [self._identities_tick, self.servers.sweep, self.clients.sweep, self.console.sweep]
-            steps += [self._retreat, *((front.sweep for front in self.fronts) if no % 5 == 0 else ())]
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            steps = [self._tick_identities, self.servers.sweep, self.platform_front.sweep, self.console.sweep]
+            steps += [
+                self._advance_drain,
+                *((front.sweep for front in self.http_fronts) if no % 5 == 0 else ()),
+            ]
             if self.recorder is not None:
                 steps.append(self.recorder.tick)
             for step in steps:
-                self._contained(step)
+                self._run_step(step)
 
     @staticmethod
-    def _contained(step: Callable[[], None]) -> None:
-        """A step of the sweep that fails stops neither the others nor the program."""
+    def _run_step(step: Callable[[], None]) -> None:
+        """Runs one step of the sweep. An exception ends neither the other steps nor the program."""
         try:
             step()
         except Exception as problem:
             metrics.count(f"internal_error.{type(problem).__name__}")
             logs.event("program", "internal_error", step=step.__qualname__, why=repr(problem))
 
-    def _identities_tick(self) -> None:
+    def _tick_identities(self) -> None:
         if self.keeper is not None:
             self.keeper.tick()
-            self.clients.fit = self.fit()
+            self.platform_front.ready = self.is_ready()
 
     async def _drain(self) -> None:
-        self.since = start = monotonic()
+        start = monotonic()
+        self.drain_started = start
         self.enter(Phase.LINGERING)
-        await asyncio.sleep(LINGER)
+        await asyncio.sleep(LINGER_S)
         self.enter(Phase.DRAINING)
-        for listener in (self.clients, *self.fronts):
+        for listener in (self.platform_front, *self.http_fronts):
             await listener.stop_listening()
-        await asyncio.sleep(SWEEP / 2)  # what was in the queue is read before anyone looks for quiet
-        last_answers = start + self.conf.limits.drain_timeout
-        while not self.quiet() and monotonic() < last_answers + FLUSH:
+        await asyncio.sleep(SWEEP_INTERVAL_S / 2)  # to read from the connections that were queued
+        last_answers = start + self.config.limits.drain_timeout
+        while not self.is_quiet() and monotonic() < last_answers + FLUSH_S:
             if monotonic() > last_answers:
                 self.exchange.end()
-            self._retreat()
-            await asyncio.sleep(DRAIN_POLL)
+            self._advance_drain()
+            await asyncio.sleep(DRAIN_POLL_S)
 
 
-def missing(problem: ImportError, what: str) -> str:
-    return f"operator's file: {problem.name} is not installed: pip install -r requirements-{what}.txt"
+def missing_package(problem: ImportError, extra: str) -> str:
+    """The message for a package that the operator's file needs and requirements-EXTRA.txt installs."""
+    return f"operator's file: {problem.name} is not installed: pip install -r requirements-{extra}.txt"
 
 
-class Front(Listener):
-    """A listener that speaks HTTP. Its connections count with the platform's clients."""
+class HttpFront(Listener):
+    """A listener for HTTP. Its connections count against the same limit as those of the platform's front."""
 
     def __init__(
         self,
         address: tuple[str, int],
         connect: Callable[[SocketStream], Connection | Awaitable[Connection | None]],
-        clients: PlatformFront,
-        public: bool = False,  # its callers make way for others; the staff's do not
+        platform_front: PlatformFront,
+        public: bool = False,  # connections may be closed to make room for others; the staff's may not
     ) -> None:
+        """Listens at once. `connect` makes the connection on an accepted stream, or None if it refuses the
+        peer. Raises OSError."""
         super().__init__()
         self.listen(address)
-        self.connect, self.clients, self.public = connect, clients, public
-        self.all: set[Connection] = set()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.connect = connect
+        self.platform_front = platform_front
+        self.public = public
+        self.connections: set[Connection] = set()
+        self.tasks: set[asyncio.Task[None]] = set()  # one for each connection, also during its handshake
 
     def admit(self) -> bool:
-        if len(self.tasks) >= HTTP:
-            return evict_one(self.all, now_us())
-        return self.clients.admit()
+        """Whether one more connection has room; at a limit it closes another one to make room."""
+        if len(self.tasks) >= MAX_HTTP_CONNECTIONS:
+            return evict_one(self.connections, now_us())
+        return self.platform_front.admit()
 
     def add_connection(self, sock: socket.socket) -> None:
-        task = asyncio.create_task(self._one(SocketStream(sock, "client", self.failing_since)))
+        """Starts to serve an accepted connection."""
+        task = asyncio.create_task(self._serve(SocketStream(sock, "client", self.failing_since)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _one(self, stream: SocketStream) -> None:
+    async def _serve(self, stream: SocketStream) -> None:
         made = self.connect(stream)
         connection = await made if isinstance(made, Awaitable) else made
         if connection is None:
             return
-        self.all.add(connection)
+        self.connections.add(connection)
         try:
             await connection.run()
         finally:
-            self.all.discard(connection)
+            self.connections.discard(connection)
 
     def sweep(self) -> None:
-        for connection in [c for c in self.all if c.overdue()]:
+        """Closes connections that sent no complete request for too long."""
+        for connection in [c for c in self.connections if c.overdue()]:
             connection.close()
 
-    def leave(self) -> None:
+    def close_idle(self) -> None:
+        """Closes idle connections that are to go elsewhere; one without a request so far is spared for a
+        while."""
         late = now_us() - FIRST_REQUEST_GRACE_US
-        for connection in [c for c in self.all if c.leaving() and c.idle() and (c.spoke or c.used < late)]:
+        for connection in [
+            c for c in self.connections if c.leaving() and c.idle() and (c.spoke or c.used < late)
+        ]:
             connection.close()
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         self.close_listener()
-        for connection in list(self.all):
+        for connection in list(self.connections):
             connection.close()
 
 
-async def serve(conf: config.Config, operator: Operator | None) -> NoReturn:
-    """Ends the process with the program's exit code, while the loop's signal handlers still stand. Behind the
-    loop other threads would take a late SIGTERM or SIGHUP and die of it, and nothing is left to be done."""
-    os._exit(await Program(conf, operator).run())
+async def serve(configuration: config.Config, operator: Operator | None) -> NoReturn:
+    """Runs the program and exits the process with its exit code.
+
+    It exits from within the loop, while the loop's signal handlers are installed: afterwards a late SIGTERM
+    or SIGHUP would be delivered to another thread and kill the process. Nothing is left to clean up.
+    """
+    os._exit(await Program(configuration, operator).run())
 
 
 def load_config() -> config.Config:
-    """Raises BadConfig."""
-    end = monotonic() + START_WITHIN
+    """Loads the configuration, repeatedly where the file is temporarily unreadable. Raises BadConfig."""
+    end = monotonic() + START_RETRY_LIMIT_S
     while True:
         try:
             return config.load(os.environ)
         except config.ConfigTemporarilyUnreadable:
             if monotonic() > end:
                 raise
-        time.sleep(SWEEP)
+        time.sleep(SWEEP_INTERVAL_S)
 
 
 def main() -> int:
+    """Runs the program; returns only if the configuration cannot be used."""
     try:
-        conf = load_config()
+        configuration = load_config()
         operator = None
         if os.environ.get("ONYXPULLEY_OPERATOR"):
             from onyxpulley.operator import load  # the platform's front needs none of it
 
             operator = load(Path(os.environ["ONYXPULLEY_OPERATOR"]))
-        uvloop.run(serve(conf, operator))
+        uvloop.run(serve(configuration, operator))
     except config.BadConfig as problem:
         logs.say(f"onyxpulley: {problem}")
         return 2
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""The recorded exchanges of the platform's front, played against the program."""
+"""The platform's front: recorded exchanges, bad configurations, and limits that must add up."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from .player import SETTINGS, ExchangePlayer, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
-CASES = read_cases(FOLDER / "platform.txt") + read_cases(FOLDER / "operating.txt")
+EXCHANGES = read_cases(FOLDER / "platform.txt") + read_cases(FOLDER / "operating.txt")
 
 
-@pytest.mark.parametrize("lines", [pytest.param(lines, id=name) for name, lines in CASES])
+@pytest.mark.parametrize("lines", [pytest.param(lines, id=name) for name, lines in EXCHANGES])
 def test_exchange(lines: list[str], tmp_path: Path) -> None:
     async def play() -> None:
         await ExchangePlayer(tmp_path).run(lines)
@@ -29,19 +29,19 @@
     asyncio.run(play())
 
 
-GOOD = {"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": SETTINGS}
+VALID_CONFIG = {"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": SETTINGS}
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("{", "config"),
-        (json.dumps({**GOOD, "listen": "nowhere"}), "listen is not host:port"),
-        (json.dumps({**GOOD, "settings": {}}), "classes"),
-        (json.dumps({**GOOD, "known": {"no": 1, "items": [{"no": 1, "roster": {}}]}}), "known"),
+        (json.dumps({**VALID_CONFIG, "listen": "nowhere"}), "listen is not host:port"),
+        (json.dumps({**VALID_CONFIG, "settings": {}}), "classes"),
+        (json.dumps({**VALID_CONFIG, "known": {"no": 1, "items": [{"no": 1, "roster": {}}]}}), "known"),
     ],
 )
-def test_bad_config_is_one_clear_line(text: str, said: str, tmp_path: Path) -> None:
+def test_bad_config_is_one_clear_line(text: str, expected: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
     env = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
@@ -53,14 +53,14 @@
         timeout=30,
     )
     lines = [line for line in run.stderr.splitlines() if line.startswith("onyxpulley: ")]
-    assert run.returncode == 2 and len(lines) == 1 and said in lines[0]
+    assert run.returncode == 2 and len(lines) == 1 and expected in lines[0]
     assert "Traceback" not in run.stderr
 
 
 @pytest.mark.parametrize("megabytes", [32, 40, 64, 192])
-def test_all_bounds_together_fit_in_the_memory(megabytes: int, tmp_path: Path) -> None:
+def test_all_memory_limits_together_fit_in_the_granted_memory(megabytes: int, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**GOOD, "limits": {"memory_mb": megabytes, "sockets": 256}}))
+    path.write_text(json.dumps({**VALID_CONFIG, "limits": {"memory_mb": megabytes, "sockets": 256}}))
     limits = config.load({"GW_CONFIG": str(path)}).limits
     held = (
         limits.copy_bytes
@@ -75,19 +75,21 @@
     )
 
 
-def test_the_tables_of_the_decisions_stay_within_their_bound() -> None:
+def test_tables_of_objects_stay_within_their_limit() -> None:
     world = World(with_settings(memo=50))
     for no in range(200):
         world.serve(f"x{no}")
     router = world.router
     assert all(len(table) <= 50 for table in (router.ranks, router.heat, router.learned))
-    assert "x199" in router.heat and "x0" not in router.heat, "what was asked for longest ago goes first"
+    assert "x199" in router.heat and "x0" not in router.heat, (
+        "the least recently requested object is dropped first"
+    )
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
-def test_all_connections_together_fit_in_the_descriptors(sockets: int, tmp_path: Path) -> None:
+def test_all_connections_together_fit_in_the_granted_descriptors(sockets: int, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**GOOD, "limits": {"memory_mb": 32, "sockets": sockets}}))
+    path.write_text(json.dumps({**VALID_CONFIG, "limits": {"memory_mb": 32, "sockets": sockets}}))
     limits = config.load({"GW_CONFIG": str(path)}).limits
     assert (
         limits.client_connections + limits.server_connections + config.RESERVED_DESCRIPTORS <= sockets
@@ -95,12 +97,13 @@
     )
 
 
-def test_very_many_bad_clients_fill_no_log(capfd: pytest.CaptureFixture[str]) -> None:
-    clients = PlatformFront.__new__(PlatformFront)
-    clients.said, clients.said_at = 0, 10**18
+def test_log_lines_about_bad_clients_are_limited(capfd: pytest.CaptureFixture[str]) -> None:
+    front = PlatformFront.__new__(PlatformFront)
+    front.lines_logged = 0
+    front.log_window_start = 10**18
     for _ in range(10 * MAX_LOG_LINES_PER_SECOND):
-        clients.say("bad")
-    clients.said_at = -(10**18)
-    clients.say("bad")
+        front.log_bad_client("bad")
+    front.log_window_start = -(10**18)
+    front.log_bad_client("bad")
     lines = capfd.readouterr().err.splitlines()
     assert len(lines) == MAX_LOG_LINES_PER_SECOND + 2 and f"{9 * MAX_LOG_LINES_PER_SECOND} more" in lines[-2]
