--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -93,7 +93,7 @@
             raise MalformedMessage("length line too long")
         return None
     try:
-        return fields.number(data[start + 1 : line_end].decode("ascii"), 0, most), line_end + 2
+        return fields.parse_number(data[start + 1 : line_end].decode("ascii"), 0, most), line_end + 2
     except ValueError as problem:
         raise MalformedMessage(str(problem)) from problem
 
@@ -144,7 +144,7 @@
     cls = elements[2].decode("ascii")
     if cls not in classes:
         raise ValueError(f"unknown class {cls[:40]!r}")
-    row = fields.read(elements[3].decode("ascii"))
+    row = fields.parse(elements[3].decode("ascii"))
     for name in ("txn", "item"):
         if len(row.get(name, "")) != 16 or not HEX_DIGITS.issuperset(row[name]):
             raise ValueError(f"{name} is not 16 hex digits")
@@ -157,15 +157,15 @@
     return Request(
         txn=row["txn"],
         cls=cls,
-        item=row["item"],
-        due=arrived + 1000 * fields.number(row.get("limit", ""), 1, 3_600_000),
+        object_id=row["item"],
+        deadline=arrived + 1000 * fields.parse_number(row.get("limit", ""), 1, 3_600_000),
         reply=reply_not_set,
-        part=fields.number(row.get("part", "0"), 0, 2**31),
-        group=fields.number(row["group"], 0, 255) if "group" in row else None,
+        part=fields.parse_number(row.get("part", "0"), 0, 2**31),
+        group=fields.parse_number(row["group"], 0, 255) if "group" in row else None,
         size_kb=size,
         body=elements[4] if len(elements) > 4 else b"",
-        have=have,
-        again=row.get("second", "") == "1",
+        client_tag=have,
+        is_repeat=row.get("second", "") == "1",
     )
 
 
@@ -219,17 +219,17 @@
         while received and not self.closed:
             self.buffer.end += received
             self._process_input()
-            if self.closed or not self.stream.late_since:
+            if self.closed or not self.stream.delayed_since:
                 break
             received = self.stream.receive_now(self._free_space())
         return received != 0
 
     def _free_space(self) -> memoryview:
         try:
-            return self.buffer.room()
+            return self.buffer.free_space()
         except BufferError as problem:
             self.stop_reading(CloseReason.MALFORMED, str(problem))
-            return self.buffer.room()
+            return self.buffer.free_space()
 
     def _process_input(self) -> None:
         self.last_activity = now_us()
@@ -254,14 +254,14 @@
         self.buffer = Buffer(4_096, MAX_BODY_BYTES + 8 * MAX_ELEMENT_BYTES)
         self.bytes_to_discard = self.waiting_since = 0
         if reason is not CloseReason.MALFORMED:
-            self.settle_open_requests()
+            self.answer_open_requests()
         if self.all_answered():
             self.close(reason)
 
-    def settle_open_requests(self) -> None:
+    def answer_open_requests(self) -> None:
         """Gives every open request its final answer now."""
         for request in list(self.open_requests.values()):
-            self.front.exchange.settle(request)
+            self.front.exchange.answer_now(request)
 
     def _process_messages(self) -> None:
         buffer = self.buffer
@@ -300,12 +300,12 @@
             raise MalformedMessage(f"not a valid tag: {tag[:40]!r}")
         if verb == b"ASK":
             if tag in self.open_requests:  # the client could not tell which of the two an answer is for
-                self.front.exchange.left(self.open_requests.pop(tag))
+                self.front.exchange.client_left(self.open_requests.pop(tag))
                 raise MalformedMessage(f"tag {tag.decode()} is in use by an open request")
             if len(self.open_requests) >= MAX_OPEN_REQUESTS:
                 return self._reject(elements, f"more than {MAX_OPEN_REQUESTS} open requests")
             try:
-                arrived = self.stream.late_since or self.last_activity
+                arrived = self.stream.delayed_since or self.last_activity
                 request = parse_request(elements, self.front.classes, arrived)
             except ValueError as problem:
                 return self._reject(elements, f"bad request: {problem}")
@@ -314,15 +314,15 @@
                 self._send_answer(tag, answer)
 
             request.reply = reply
-            request.out_of_touch = self.stream.out_of_touch
+            request.client_may_have_left = self.stream.peer_may_have_left
             first = not self.last_request_at
             self.last_request_at = self.last_activity
             self.open_requests[tag] = request
-            self.front.exchange.take(request, first)
+            self.front.exchange.submit(request, first)
         elif verb == b"NEVERMIND":
             abandoned = self.open_requests.pop(tag, None)
             if abandoned is not None:
-                self.front.exchange.left(abandoned)
+                self.front.exchange.client_left(abandoned)
         elif verb == b"STATUS":
             self.send(encode_reply(tag, b"fit" if self.front.ready else b"unfit"))
         else:
@@ -334,10 +334,10 @@
         row = []
         if answer.verdict is Verdict.SERVED and answer.tag:
             row.append(f"have={answer.tag}")
-        if answer.same:
+        if answer.not_modified:
             row.append("same=1")
-        if answer.later:
-            row.append(f"later={answer.later}")
+        if answer.retry_after_ms:
+            row.append(f"later={answer.retry_after_ms}")
         self.send(encode_reply(tag, REPLY_STATUS[answer.verdict], ",".join(row), answer.body))
 
     def send(self, data: bytes) -> None:
@@ -437,7 +437,7 @@
         abandoned = list(self.open_requests.values())
         self.open_requests.clear()
         for request in abandoned:
-            self.front.exchange.left(request)
+            self.front.exchange.client_left(request)
 
 
 class PlatformFront(Listener):
@@ -473,7 +473,7 @@
     def _start_log_window_if_due(self) -> None:
         if now_us() - self.log_window_start > 1_000_000:
             if self.lines_logged > MAX_LOG_LINES_PER_SECOND:
-                logs.say(f"client: {self.lines_logged - MAX_LOG_LINES_PER_SECOND} more lines suppressed")
+                logs.info(f"client: {self.lines_logged - MAX_LOG_LINES_PER_SECOND} more lines suppressed")
             self.lines_logged = 0
             self.log_window_start = now_us()
 
@@ -489,7 +489,7 @@
             for c in self.connections
             if c.stop_reason is not None and now - c.stopped_at > MESSAGE_TIMEOUT_US
         ]:
-            client.settle_open_requests()
+            client.answer_open_requests()
         incomplete = sorted(
             (c for c in self.connections if c.waiting_since), key=lambda c: c.eviction_age(now)
         )
@@ -504,7 +504,7 @@
         self._start_log_window_if_due()
         self.lines_logged += 1
         if self.lines_logged <= MAX_LOG_LINES_PER_SECOND:
-            logs.say(f"client: {why}"[:200])
+            logs.info(f"client: {why}"[:200])
 
     def add_connection(self, sock: socket.socket) -> None:
         """Starts to serve an accepted connection."""
@@ -514,7 +514,7 @@
         """Closes the connection with the most unsent data, to free memory that clients hold unread."""
         slowest = max(self.connections, key=lambda c: c.unsent_bytes, default=None)
         if slowest is not None:
-            logs.say(f"client: {slowest.unsent_bytes} bytes unread, closed")
+            logs.info(f"client: {slowest.unsent_bytes} bytes unread, closed")
             slowest.close(CloseReason.MEMORY)
 
     def drain(self) -> None:
@@ -532,14 +532,14 @@
         ]:
             client.close(CloseReason.IDLE)
 
-    def settle_recent_clients(self) -> None:
+    def answer_recent_clients(self) -> None:
         """Gives the clients that sent a request lately their final answers, and so lets them be closed.
 
         Without it a client that always has a request open would never be closed by a drain.
         """
         now = now_us()
         for client in [c for c in self.connections if now - c.last_request_at < RECENT_REQUEST_US]:
-            client.settle_open_requests()
+            client.answer_open_requests()
 
     def is_quiet(self) -> bool:
         """Whether all answers are written and no request is on its way in.
--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -39,8 +39,8 @@
 
     async def _run(self) -> None:
         try:
-            while (line := self.buffer.line(MAX_LINE_BYTES - 1)) is None:
-                received = await self.stream.receive_into(self.buffer.room())
+            while (line := self.buffer.read_line(MAX_LINE_BYTES - 1)) is None:
+                received = await self.stream.receive_into(self.buffer.free_space())
                 if not received:
                     return
                 self.buffer.end += received
--- a/onyxpulley/listeners.py
+++ b/onyxpulley/listeners.py
@@ -13,7 +13,7 @@
 from onyxpulley import logs, metrics
 from onyxpulley.clock import now_us
 from onyxpulley.streams import close_quietly
-from onyxpulley.system_calls import Meaning, meaning_of, next_pause
+from onyxpulley.system_calls import ErrorKind, classify_error, next_retry_delay
 
 # Idle time counts this many times on a connection on which nothing was ever received. With 2, requests that
 # are slow to arrive fail, because their connections are evicted first.
@@ -118,8 +118,8 @@
         logs.event("listener", "accept_failed", why=problem)
         self.failing_since = self.failing_since or now_us()
         self.failures += 1
-        at_once = meaning_of(problem) is not Meaning.LOCAL and self.failures <= MAX_IMMEDIATE_RETRIES
-        self.retry_delay = 0.0 if at_once else next_pause(self.retry_delay)
+        at_once = classify_error(problem) is not ErrorKind.LOCAL and self.failures <= MAX_IMMEDIATE_RETRIES
+        self.retry_delay = 0.0 if at_once else next_retry_delay(self.retry_delay)
 
     def _empty_queue(self) -> bool:
         """Accepts all queued connections. False if an accept failed, so that others may still be queued."""
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -16,32 +16,32 @@
 import uvloop
 
 from onyxpulley import config, logs, metrics
-from onyxpulley.bulletin import Bulletin
 from onyxpulley.clients import PlatformFront
 from onyxpulley.clock import monotonic, now_us
 from onyxpulley.console import Console, Metric
-from onyxpulley.copies import Copies
+from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Exchange, Verdict
-from onyxpulley.facade import Facade
+from onyxpulley.decision_adapter import DecisionAdapter
+from onyxpulley.discovery import DiscoveryClient
+from onyxpulley.discovery_events import CONNECT_TIMEOUT_S, PARSE_ERRORS
 from onyxpulley.listeners import FIRST_REQUEST_GRACE_US, Listener, evict_one
-from onyxpulley.news import BAD, UP
 from onyxpulley.servers import Servers
 from onyxpulley.streams import SocketStream
-from onyxpulley.system_calls import Meaning, meaning_of
+from onyxpulley.system_calls import ErrorKind, classify_error
 
 if TYPE_CHECKING:
     import socket
 
     from onyxpulley.http import Connection
     from onyxpulley.incident.recorder import Recorder
-    from onyxpulley.operator import Operator
-    from onyxpulley.spiffe.trust import Keeper
+    from onyxpulley.operator_config import OperatorConfig
+    from onyxpulley.spiffe.manager import IdentityManager
 
 # Steps of a drain, in seconds after SIGTERM or PAUSE
 LINGER_S = 0.8  # new connections may still come until then; idle ones are closed from then on
 REFUSE_AFTER_S = 1.8  # requests on connections that are still open are refused from then on
 REFUSE_AFTER_SHARE = 0.5  # the same as a share of the drain's time, for configurations with short deadlines
-SETTLE_AFTER_S = 3.4  # after PAUSE: clients that go on sending requests get their final answers
+FINAL_ANSWERS_AFTER_S = 3.4  # after PAUSE: clients that go on sending requests get their final answers
 
 FLUSH_S = 0.25  # for the last answers to be sent; the platform kills the process 0.05 s later
 DRAIN_POLL_S = 0.005  # between two checks for the end of the drain
@@ -67,33 +67,33 @@
 class Program:
     """All parts of the running program and the phases that it goes through."""
 
-    def __init__(self, configuration: config.Config, operator: Operator | None = None) -> None:
+    def __init__(self, configuration: config.Config, operator: OperatorConfig | None = None) -> None:
         self.config = configuration
         self.phase = Phase.STARTING
         self.operator = operator
         limits = configuration.limits
         if operator is not None:
-            limits.signature_boxes = operator.boxes
-        self.facade = Facade(
+            limits.signature_boxes = operator.signature_boxes
+        self.decisions = DecisionAdapter(
             configuration.settings,
             configuration.seed,
             configuration.concurrent_transfers,
             limits.memo_entries,
         )
         self.servers = Servers(limits)
-        self.exchange = Exchange(self.facade, self.servers, limits, Copies(limits.copy_bytes))
+        self.exchange = Exchange(self.decisions, self.servers, limits, CopyStore(limits.copy_bytes))
         self.servers.exchange = self.exchange
-        self.servers.saw_copy = self.facade.platform.saw_copy
-        self.bulletin = Bulletin(
+        self.servers.on_copy_timestamp = self.decisions.platform_clock.observe_copy
+        self.discovery = DiscoveryClient(
             configuration.bulletin,
             configuration.seed,
             limits.bulletin_line_bytes,
-            self.facade,
+            self.decisions,
             self.exchange,
             self.servers,
         )
-        self.exchange.read_pending = self.bulletin.read_pending
-        self.platform_front = PlatformFront(self.exchange, self.facade.classes, limits)
+        self.exchange.read_pending = self.discovery.read_pending
+        self.platform_front = PlatformFront(self.exchange, self.decisions.class_names, limits)
         self.stop_requested = asyncio.Event()
         self.http_fronts: list[HttpFront] = []
         self.console = Console(lambda: self.platform_front.ready, self.read_metrics, self.pause, self.resume)
@@ -104,21 +104,23 @@
         self.platform_front.evictable_elsewhere = lambda: [
             connection for front in self.http_fronts if front.public for connection in front.connections
         ]
-        self.keeper: Keeper | None = None  # of identities, where the operator's file configures them
+        self.identity_manager: IdentityManager | None = None  # if the operator's file has identities
         self.tasks: list[asyncio.Task[None]] = []
         self.recorder: Recorder | None = None
 
     def enter(self, phase: Phase) -> None:
         """Enters a phase, records and logs it."""
         self.phase = phase
-        cold_s = self.facade.settings.cold_time / 1e6 if phase is Phase.STARTING else 0.0
+        cold_s = self.decisions.settings.warm_up_time / 1e6 if phase is Phase.STARTING else 0.0
         self.record("phase", phase.value, cold_s)
         self.platform_front.ready = self.is_ready()
-        logs.say(f"{self.config.name}: {phase.value}")
+        logs.info(f"{self.config.name}: {phase.value}")
 
     def is_ready(self) -> bool:
         """Whether the router takes new work: it is serving and can prove its identity to servers."""
-        return self.phase is Phase.SERVING and (self.keeper is None or self.keeper.ready())
+        return self.phase is Phase.SERVING and (
+            self.identity_manager is None or self.identity_manager.is_ready()
+        )
 
     async def run(self) -> int:
         """Runs the program to its end and returns its exit code. Raises BadConfig."""
@@ -140,8 +142,8 @@
         self._start_recorder()
         self.enter(Phase.STARTING)
         try:
-            self.bulletin.known(self.config.known_event_no, self.config.known_events)
-        except BAD as problem:
+            self.discovery.load_initial(self.config.known_event_no, self.config.known_events)
+        except PARSE_ERRORS as problem:
             raise config.BadConfig(f"known: bad event: {problem!r}") from problem
         fronts: list[tuple[Listener, tuple[str, int] | None]]
         fronts = [(self.console, self.config.console), (self.platform_front, self.config.listen)]
@@ -153,13 +155,15 @@
             *self.tasks,
             *([asyncio.create_task(self.console.accept())] if self.config.console else []),
             *(asyncio.create_task(front.accept()) for front in self.http_fronts),
-            asyncio.create_task(self.bulletin.follow()),
+            asyncio.create_task(self.discovery.run()),
             asyncio.create_task(self.platform_front.accept()),
             asyncio.create_task(self._sweep()),
         ]
         stop = asyncio.create_task(self.stop_requested.wait())
-        caught_up = asyncio.create_task(self.bulletin.caught_up.wait())
-        await asyncio.wait([stop, caught_up, *tasks], timeout=UP, return_when=asyncio.FIRST_COMPLETED)
+        caught_up = asyncio.create_task(self.discovery.caught_up.wait())
+        await asyncio.wait(
+            [stop, caught_up, *tasks], timeout=CONNECT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+        )
         caught_up.cancel()
         if not stop.done():
             self.drain_started = monotonic()
@@ -190,7 +194,7 @@
                 return front.listen(address)
             except OSError as problem:
                 metrics.count_failed_call("listen", problem)
-                if meaning_of(problem) is not Meaning.LOCAL or monotonic() > end:
+                if classify_error(problem) is not ErrorKind.LOCAL or monotonic() > end:
                     raise config.BadConfig(f"cannot listen on {address}: {problem}") from problem
             await asyncio.sleep(SWEEP_INTERVAL_S)
 
@@ -206,26 +210,26 @@
             new = config.load(os.environ)
             if (new.name, new.listen) != (old.name, old.listen):
                 raise config.BadConfig("a change of name or listen needs a restart")
-            self.facade.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
+            self.decisions.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
         except config.BadConfig as problem:
             if isinstance(problem, config.ConfigTemporarilyUnreadable) and attempts > 1:
                 asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY_S, self.reload, attempts - 1)
                 return
             self.reload_counts["rejected"] += 1
             self.record("reload", "rejected")
-            logs.say(f"{old.name}: reload: kept the old settings: {problem}")
+            logs.info(f"{old.name}: reload: kept the old settings: {problem}")
             return
         new.limits.signature_boxes = old.limits.signature_boxes  # from the operator's file
         old.limits.update_from(new.limits)
         new.limits = old.limits
         self.config = new
-        self.exchange.copies.shrink(new.limits.copy_bytes)
-        self.platform_front.classes = self.facade.classes
-        self.bulletin.move(new.bulletin)
+        self.exchange.copies.resize(new.limits.copy_bytes)
+        self.platform_front.classes = self.decisions.class_names
+        self.discovery.change_address(new.bulletin)
         self.reload_counts["applied"] += 1
         self.record("reload", "applied")
         host, port = new.bulletin
-        logs.say(f"{new.name}: reloaded, bulletin {host}:{port} after {self.bulletin.no}")
+        logs.info(f"{new.name}: reloaded, bulletin {host}:{port} after {self.discovery.last_number}")
 
     # ---- Commands at the second address
     def pause(self) -> str:
@@ -248,10 +252,10 @@
 
     def read_metrics(self) -> list[Metric]:
         """The metrics that METRICS shows."""
-        answers = self.exchange.answers
-        known, avoided = self.facade.listed()
+        answers = self.exchange.answer_counts
+        known, avoided = self.decisions.server_counts()
         rows: list[Metric] = []
-        for cls in sorted({*self.facade.classes, *(cls for cls, _ in answers)}):
+        for cls in sorted({*self.decisions.class_names, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
             rows += [
                 (f"succeeded.{cls}", answers[cls, Verdict.SERVED], "c"),
@@ -261,12 +265,12 @@
         return [
             *rows,
             ("forwards", self.servers.forwards, "c"),
-            ("outstanding", len(self.exchange.open), "g"),
+            ("outstanding", len(self.exchange.open_requests), "g"),
             ("discovered", known, "g"),
             ("ejected", avoided, "g"),
             ("sighup_applied", self.reload_counts["applied"], "c"),
             ("sighup_rejected", self.reload_counts["rejected"], "c"),
-            *(self.keeper.figures() if self.keeper is not None else ()),
+            *(self.identity_manager.figures() if self.identity_manager is not None else ()),
         ]
 
     def _advance_drain(self) -> None:
@@ -284,13 +288,13 @@
                 front.close_idle()
         refuse_after = min(REFUSE_AFTER_S, REFUSE_AFTER_SHARE * self.config.limits.drain_timeout)
         self.exchange.closing = elapsed >= refuse_after
-        if elapsed >= SETTLE_AFTER_S and self.phase is Phase.PAUSED:
-            self.platform_front.settle_recent_clients()
+        if elapsed >= FINAL_ANSWERS_AFTER_S and self.phase is Phase.PAUSED:
+            self.platform_front.answer_recent_clients()
 
     def is_quiet(self) -> bool:
         """Whether no front has an open request, an unsent answer or a request on its way in."""
         return self.platform_front.is_quiet() and all(
-            connection.idle() for front in self.http_fronts for connection in front.connections
+            connection.is_idle() for front in self.http_fronts for connection in front.connections
         )
 
     def _start_operator_fronts(self) -> None:
@@ -300,32 +304,40 @@
         """
         if self.operator is None:
             return
-        from onyxpulley.admin import Admin
-        from onyxpulley.signed import Signed
-        from onyxpulley.spiffe.ids import BadIdentity
+        from onyxpulley.admin import AdminApi
+        from onyxpulley.signed_front import SignedFront
+        from onyxpulley.spiffe.ids import InvalidIdentity
 
         operator = self.operator
         try:
             self._start_identities(operator)
-            if operator.listen is not None:
-                signed = Signed(
-                    operator.public, operator.tenants, self.exchange, self.facade, bool(operator.boxes)
+            if operator.signed_listen is not None:
+                signed = SignedFront(
+                    operator.public_url,
+                    operator.tenants,
+                    self.exchange,
+                    self.decisions,
+                    bool(operator.signature_boxes),
                 )
                 callers = operator.identities.callers if operator.identities is not None else None
-                if callers is not None and self.keeper is not None:
-                    signed.keeper = self.keeper
-                    signed.callers = callers
+                if callers is not None and self.identity_manager is not None:
+                    signed.identity_manager = self.identity_manager
+                    signed.allowed_callers = callers
+                self.http_fronts.append(
+                    HttpFront(
+                        operator.signed_listen, signed.open_connection, self.platform_front, public=True
+                    )
+                )
+                signed.is_ready = lambda: self.platform_front.ready
+                signed.draining = lambda: self.platform_front.draining
+            if operator.admin_listen is not None and self.identity_manager is not None:
+                admin = AdminApi(operator.tenants, self.identity_manager, operator.admin_roles, self.status)
                 self.http_fronts.append(
-                    HttpFront(operator.listen, signed.connection, self.platform_front, public=True)
+                    HttpFront(operator.admin_listen, admin.open_connection, self.platform_front)
                 )
-                signed.fit = lambda: self.platform_front.ready
-                signed.leaving = lambda: self.platform_front.draining
-            if operator.admin is not None and self.keeper is not None:
-                admin = Admin(operator.tenants, self.keeper, operator.allow, self.status)
-                self.http_fronts.append(HttpFront(operator.admin, admin.connection, self.platform_front))
         except ImportError as problem:
             raise config.BadConfig(missing_package(problem, "identities")) from problem
-        except (OSError, BadIdentity) as problem:
+        except (OSError, InvalidIdentity) as problem:
             what = "cannot listen" if isinstance(problem, OSError) else "identity"
             raise config.BadConfig(f"operator's file: {what}: {problem}") from problem
 
@@ -342,10 +354,10 @@
         except ImportError as problem:
             raise config.BadConfig(missing_package(problem, "incident")) from problem
         try:
-            self.recorder = Recorder(self.config.name, self.facade.settings.zone, self.operator.records)
+            self.recorder = Recorder(self.config.name, self.decisions.settings.zone, self.operator.records)
         except OSError as problem:
             raise config.BadConfig(f"operator's file: records: {problem.strerror or problem}") from problem
-        attach(self.recorder.tally, self.exchange, self.bulletin, self.facade)
+        attach(self.recorder.tally, self.exchange, self.discovery, self.decisions)
 
     def record(self, kind: str, cause: str, value: float = 0.0) -> None:
         """Adds one record, if records are kept."""
@@ -354,36 +366,42 @@
 
             self.recorder.tally.event(Kind(kind), cause=cause, value=value)
 
-    def _start_identities(self, operator: Operator) -> None:
-        """Loads the router's own identity and those it trusts. Raises BadIdentity."""
+    def _start_identities(self, operator: OperatorConfig) -> None:
+        """Loads the router's own identity and those it trusts. Raises InvalidIdentity."""
         if operator.identities is None:
             return
-        from onyxpulley.spiffe.trust import Keeper
+        from onyxpulley.spiffe.manager import IdentityManager
 
         setup = operator.identities
-        keeper = Keeper(setup)
-        self.keeper = keeper
-        if setup.servers:
-            self.servers.trust = keeper
-        if setup.agent:
-            from onyxpulley.spiffe.pace import Pace
-            from onyxpulley.spiffe.workload import Agent
+        manager = IdentityManager(setup)
+        self.identity_manager = manager
+        if setup.verify_servers:
+            self.servers.transport_security = manager
+        if setup.agent_address:
+            from onyxpulley.spiffe.backoff import Backoff
+            from onyxpulley.spiffe.workload import WorkloadApiClient
 
             jitter = random.Random(self.config.seed).random
-            keeper.agent = Agent(setup.agent, Pace(jitter), keeper.take, keeper.left, keeper.say)
-            self.tasks.append(asyncio.create_task(keeper.agent.follow()))
+            manager.workload_api = WorkloadApiClient(
+                setup.agent_address,
+                Backoff(jitter),
+                manager.apply_agent_update,
+                manager.seconds_left,
+                manager.log_event,
+            )
+            self.tasks.append(asyncio.create_task(manager.workload_api.follow()))
 
     def status(self) -> dict[str, Any]:
         """The router's part of the administration API's status."""
         return {
             "name": self.config.name,
             "phase": self.phase.value,
-            "bulletin": self.bulletin.no,
+            "bulletin": self.discovery.last_number,
             "servers": len(self.servers.pools),
-            "open": len(self.exchange.open),
-            "copies": len(self.exchange.copies.all),
+            "open": len(self.exchange.open_requests),
+            "copies": len(self.exchange.copies.entries),
             "answers": {
-                verdict.value: sum(n for (_, v), n in self.exchange.answers.items() if v is verdict)
+                verdict.value: sum(n for (_, v), n in self.exchange.answer_counts.items() if v is verdict)
                 for verdict in Verdict
             },
         }
@@ -411,8 +429,8 @@
             logs.event("program", "internal_error", step=step.__qualname__, why=repr(problem))
 
     def _tick_identities(self) -> None:
-        if self.keeper is not None:
-            self.keeper.tick()
+        if self.identity_manager is not None:
+            self.identity_manager.tick()
             self.platform_front.ready = self.is_ready()
 
     async def _drain(self) -> None:
@@ -427,7 +445,7 @@
         last_answers = start + self.config.limits.drain_timeout
         while not self.is_quiet() and monotonic() < last_answers + FLUSH_S:
             if monotonic() > last_answers:
-                self.exchange.end()
+                self.exchange.finish_all()
             self._advance_drain()
             await asyncio.sleep(DRAIN_POLL_S)
 
@@ -482,7 +500,7 @@
 
     def sweep(self) -> None:
         """Closes connections that sent no complete request for too long."""
-        for connection in [c for c in self.connections if c.overdue()]:
+        for connection in [c for c in self.connections if c.is_overdue()]:
             connection.close()
 
     def close_idle(self) -> None:
@@ -490,7 +508,9 @@
         while."""
         late = now_us() - FIRST_REQUEST_GRACE_US
         for connection in [
-            c for c in self.connections if c.leaving() and c.idle() and (c.spoke or c.used < late)
+            c
+            for c in self.connections
+            if c.draining() and c.is_idle() and (c.had_request or c.last_activity < late)
         ]:
             connection.close()
 
@@ -501,7 +521,7 @@
             connection.close()
 
 
-async def serve(configuration: config.Config, operator: Operator | None) -> NoReturn:
+async def serve(configuration: config.Config, operator: OperatorConfig | None) -> NoReturn:
     """Runs the program and exits the process with its exit code.
 
     It exits from within the loop, while the loop's signal handlers are installed: afterwards a late SIGTERM
@@ -528,10 +548,10 @@
         configuration = load_config()
         operator = None
         if os.environ.get("ONYXPULLEY_OPERATOR"):
-            from onyxpulley.operator import load  # the platform's front needs none of it
+            from onyxpulley.operator_config import load  # the platform's front needs none of it
 
             operator = load(Path(os.environ["ONYXPULLEY_OPERATOR"]))
         uvloop.run(serve(configuration, operator))
     except config.BadConfig as problem:
-        logs.say(f"onyxpulley: {problem}")
+        logs.info(f"onyxpulley: {problem}")
         return 2
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -14,7 +14,7 @@
 from onyxpulley import config
 from onyxpulley.clients import MAX_LOG_LINES_PER_SECOND, PlatformFront
 
-from .helpers import World, with_settings
+from .helpers import RouterHarness, with_settings
 from .player import SETTINGS, ExchangePlayer, read_cases
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -76,12 +76,12 @@
 
 
 def test_tables_of_objects_stay_within_their_limit() -> None:
-    world = World(with_settings(memo=50))
+    world = RouterHarness(with_settings(max_tracked_objects=50))
     for no in range(200):
-        world.serve(f"x{no}")
+        world.serve_hit(f"x{no}")
     router = world.router
-    assert all(len(table) <= 50 for table in (router.ranks, router.heat, router.learned))
-    assert "x199" in router.heat and "x0" not in router.heat, (
+    assert all(len(table) <= 50 for table in (router.rankings, router.object_load, router.learned_work))
+    assert "x199" in router.object_load and "x0" not in router.object_load, (
         "the least recently requested object is dropped first"
     )
 
