--- a/onyxpulley/admin.py
+++ b/onyxpulley/admin.py
@@ -1,6 +1,6 @@
 """The administration API: JSON over HTTP under mutual TLS, authorised by SPIFFE ID.
 
-What it changes lasts until the program ends: the operator's file is the truth.
+Its changes last until the program ends; the operator's file stays authoritative.
 """
 
 from __future__ import annotations
@@ -21,10 +21,16 @@
 
 MAX_BODY_BYTES = 65_536
 ROLES = ("read", "write")
-ANY_SPIFFE_ID = ("spiffe://*",)  # who may do what is told to a caller that is genuine: 403
+# Any verified caller may connect; one without a role gets 403 instead of a failed handshake.
+ANY_SPIFFE_ID = ("spiffe://*",)
 
 
 class AdminApi:
+    """Shows and changes tenants and their keys, and shows the router's status.
+
+    `roles` maps the SPIFFE IDs of the callers to one of ROLES; `status` returns what `/v1/status` shows.
+    """
+
     def __init__(
         self,
         tenants: Tenants,
@@ -32,24 +38,20 @@
         roles: dict[str, str],
         status: Callable[[], dict[str, Any]],
     ) -> None:
-        self.tenants, self.identity_manager, self.roles, self.status = (
-            tenants,
-            identity_manager,
-            roles,
-            status,
-        )
+        self.tenants = tenants
+        self.identity_manager = identity_manager
+        self.roles = roles
+        self.status = status
 
     async def open_connection(self, stream: SocketStream) -> Connection | None:
-        """The TLS handshake. None where the peer has no business here; nothing is told to it."""
+        """Wraps an accepted stream with mutual TLS. Returns None if the handshake or verification fails."""
         try:
             tls, peer = await self.identity_manager.accept_caller(stream, ANY_SPIFFE_ID)
         except OSError:
             return None
 
         async def handle(request: HttpRequest) -> Response:
-            if (
-                self.identity_manager.peer_status(peer) is not PeerStatus.VALID
-            ):  # the peer must show itself anew
+            if self.identity_manager.peer_status(peer) is not PeerStatus.VALID:
                 request.keep_alive = False
                 return json_response(
                     HTTPStatus.UNAUTHORIZED, {"error": "identities were rotated, connect again"}
@@ -60,30 +62,31 @@
         handler: Callable[[HttpRequest], Awaitable[Response]] = handle
         return Connection(tls, handler, MAX_BODY_BYTES)
 
-    def handle(self, peer: str, request: HttpRequest) -> Response:
-        role = self.roles.get(peer)
+    def handle(self, caller: str, request: HttpRequest) -> Response:
+        """Authorises a request by its caller's SPIFFE ID and carries it out; logs it if it is a change."""
+        role = self.roles.get(caller)
         if role is None or (role == "read" and request.method not in ("GET", "HEAD")):
             return json_response(HTTPStatus.FORBIDDEN, {"error": "not authorised"})
-        parts = request.target.partition("?")[0].strip("/").split("/")
+        segments = request.target.partition("?")[0].strip("/").split("/")
         try:
-            response = self._route(request, parts)
-        except InvalidTenant as problem:
-            return json_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": str(problem)})
+            response = self._route(request, segments)
+        except InvalidTenant as error:
+            return json_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": str(error)})
         if request.method not in ("GET", "HEAD"):
-            what = f"{request.method} {'/'.join(parts)[:200]!r}"
-            logs.say(f"admin: {peer}: {what}: {response.status.value}")
+            action = f"{request.method} {'/'.join(segments)[:200]!r}"
+            logs.say(f"admin: {caller}: {action}: {response.status.value}")
         return response
 
-    def _route(self, request: HttpRequest, parts: list[str]) -> Response:
-        match request.method, parts:
+    def _route(self, request: HttpRequest, segments: list[str]) -> Response:
+        match request.method, segments:
             case (("GET" | "HEAD"), ["v1", "status"]):
                 return json_response(HTTPStatus.OK, {**self.status(), "tenants": self._counts()})
             case (("GET" | "HEAD"), ["v1", "tenants"]):
                 return json_response(
-                    HTTPStatus.OK, {"tenants": [t.describe() for t in self.tenants.by_name.values()]}
+                    HTTPStatus.OK, {"tenants": [each.describe() for each in self.tenants.by_name.values()]}
                 )
             case "POST", ["v1", "tenants"]:
-                tenant = read_tenant(_json(request))
+                tenant = read_tenant(_json_object(request))
                 if tenant.name in self.tenants.by_name:
                     return json_response(HTTPStatus.CONFLICT, {"error": "there is such a tenant"})
                 self.tenants.put(tenant)
@@ -94,24 +97,27 @@
                 tenant_or_none = self.tenants.by_name.get(name)
                 if tenant_or_none is None:
                     return json_response(HTTPStatus.NOT_FOUND, {"error": "no such tenant"})
-                return self._tenant(request, tenant_or_none, rest)
+                return self._route_tenant(request, tenant_or_none, rest)
             case _, ["v1", "status"] | ["v1", "tenants"]:
                 return json_response(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method"}, Allow="GET, POST")
         return json_response(HTTPStatus.NOT_FOUND, {"error": "no such resource"})
 
-    def _tenant(self, request: HttpRequest, tenant: Tenant, rest: list[str]) -> Response:
+    def _route_tenant(self, request: HttpRequest, tenant: Tenant, rest: list[str]) -> Response:
+        """Handles a request for one tenant; `rest` is the path behind its name."""
         match request.method, rest:
             case (("GET" | "HEAD"), []):
                 return json_response(HTTPStatus.OK, tenant.describe())
             case "PATCH", []:
-                return self._change(tenant, _json(request))
+                return self._patch_tenant(tenant, _json_object(request))
             case "DELETE", []:
                 del self.tenants.by_name[tenant.name]
                 return Response(HTTPStatus.NO_CONTENT)
             case "GET", ["keys"]:
-                return json_response(HTTPStatus.OK, {"keys": [k.describe() for k in tenant.keys.values()]})
+                return json_response(
+                    HTTPStatus.OK, {"keys": [key.describe() for key in tenant.keys.values()]}
+                )
             case "POST", ["keys"]:
-                key = read_key(_json(request))
+                key = read_key(_json_object(request))
                 if key.kid in tenant.keys:
                     return json_response(HTTPStatus.CONFLICT, {"error": "there is such a key"})
                 add_key(tenant, key)
@@ -125,13 +131,13 @@
                 return json_response(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method"}, Allow=allow)
         return json_response(HTTPStatus.NOT_FOUND, {"error": "no such resource"})
 
-    def _change(self, tenant: Tenant, row: dict[str, Any]) -> Response:
-        """A merge patch (RFC 7396) of all but the name and the keys."""
-        if {"name", "keys"} & set(row):
-            raise InvalidTenant("name and keys are not changed here")
-        old = tenant.describe()
-        del old["keys"]
-        merged = {k: v for k, v in {**old, **row}.items() if v is not None}
+    def _patch_tenant(self, tenant: Tenant, patch: dict[str, Any]) -> Response:
+        """Applies a merge patch (RFC 7396) to all fields but the name and the keys."""
+        if {"name", "keys"} & set(patch):
+            raise InvalidTenant("name and keys cannot be changed by PATCH")
+        current = tenant.describe()
+        del current["keys"]
+        merged = {name: value for name, value in {**current, **patch}.items() if value is not None}
         changed = read_tenant(merged)
         changed.keys = tenant.keys
         self.tenants.put(changed)
@@ -139,15 +145,17 @@
 
     def _counts(self) -> dict[str, Any]:
         return {
-            t.name: {"open": t.usage.open_requests, **t.usage.counts} for t in self.tenants.by_name.values()
+            tenant.name: {"open": tenant.usage.open_requests, **tenant.usage.counts}
+            for tenant in self.tenants.by_name.values()
         }
 
 
-def _json(request: HttpRequest) -> dict[str, Any]:
+def _json_object(request: HttpRequest) -> dict[str, Any]:
+    """Returns the JSON object of a request's body. Raises InvalidTenant."""
     try:
-        row = json.loads(request.body)
+        content = json.loads(request.body)
     except (ValueError, RecursionError):
         raise InvalidTenant("the body is not JSON") from None
-    if not isinstance(row, dict):
-        raise InvalidTenant("the body is not an object")
-    return row
+    if not isinstance(content, dict):
+        raise InvalidTenant("the body is not a JSON object")
+    return content
--- a/onyxpulley/http.py
+++ b/onyxpulley/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a server speaks it, on the socket calls of asyncio; httptools parses."""
+"""The server side of HTTP/1.1 on asyncio's socket calls; httptools does the parsing."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 MAX_URL_LENGTH = 8_192
 MAX_HEADER_BYTES = 16_384
 MAX_PIPELINED = 4  # requests waiting on one connection
-WRITE_TIMEOUT = 10.0
-IDLE_TIMEOUT = 30.0  # seconds a connection may stay without a request, once it has made one
+READ_SIZE = 16_384  # bytes
+WRITE_TIMEOUT = 10.0  # seconds for a client to read one response
+IDLE_TIMEOUT = 30.0  # seconds without a request after which a connection is closed
 # Seconds within which a whole request must arrive, counted from its first byte; for the first request of a
 # connection, from the time the connection was accepted.
 REQUEST_TIMEOUT = 5.0
@@ -30,29 +31,32 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One HTTP request, whole. `received_at`: when its last byte came."""
+    """One HTTP request, complete with its body."""
 
     method: str = ""
     target: str = ""
-    headers: dict[str, str] = field(default_factory=dict)
+    headers: dict[str, str] = field(default_factory=dict)  # by lower-case name
     body: bytes = b""
-    received_at: int = 0
+    received_at: int = 0  # monotonic microseconds at which the last byte arrived
     keep_alive: bool = True
-    error_status: HTTPStatus | None = None
-    out_of_touch: Callable[[], bool] | None = None  # may its caller have left unseen?
+    error_status: HTTPStatus | None = None  # why the request is answered without being handled
+    out_of_touch: Callable[[], bool] | None = None  # whether the client may have disconnected unnoticed
 
 
 @dataclass(slots=True)
 class Response:
+    """One HTTP response. Content-Length and Connection are added when it is encoded."""
+
     status: HTTPStatus
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
 
 
-def json_response(status: HTTPStatus, row: Any, **headers: str) -> Response:
-    body = json.dumps(row, separators=(",", ":")).encode() + b"\n"
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    return Response(status, body, {"Content-Type": "application/json", **named})
+def json_response(status: HTTPStatus, content: Any, **headers: str) -> Response:
+    """Returns a response with a JSON body. Underscores in the names of `headers` become hyphens."""
+    body = json.dumps(content, separators=(",", ":")).encode() + b"\n"
+    named_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+    return Response(status, body, {"Content-Type": "application/json", **named_headers})
 
 
 Handler = Callable[[HttpRequest], Awaitable[Response]]
@@ -65,32 +69,42 @@
     """
 
     def __init__(self, stream: Stream, handler: Handler, max_body: int) -> None:
-        self.stream, self.handler, self.max_body = stream, handler, max_body
+        self.stream = stream
+        self.handler = handler
+        self.max_body = max_body  # bytes
         self.parser = httptools.HttpRequestParser(self)
-        self.request = HttpRequest()
-        self.size, self.parts = 0, list[bytes]()
+        self.request = HttpRequest()  # the request that is being parsed
+        self.size = 0  # bytes of its headers, then of its body
+        self.parts = list[bytes]()  # of its body
         self.pending: deque[HttpRequest] = deque()
-        self.wake = asyncio.Event()
+        self.wake = asyncio.Event()  # set when a request was added to `pending`
         self.closed = False
-        self.busy = False
-        # `awaiting_since` is when the connection began to wait for a whole request; 0 while none is awaited.
+        self.busy = False  # a request is being answered
+        # Monotonic microseconds. `awaiting_since` is when the connection began to wait for a whole request;
+        # 0 while none is awaited.
         self.last_activity = self.awaiting_since = now_us()
-        self.had_request = self.received_data = False  # a whole request came, anything at all
+        self.had_request = False  # at least one whole request has arrived
+        self.received_data = False  # at least one byte has arrived
         self.tasks: list[asyncio.Task[Any]] = []
-        self.draining: Callable[[], bool] = lambda: False  # each answer is then the connection's last
+        self.draining: Callable[[], bool] = lambda: False  # whether to close after the next response
 
     # ---- Callbacks of httptools
     def on_message_begin(self) -> None:
-        self.request, self.size, self.parts = HttpRequest(), 0, []
+        """Starts a new request."""
+        self.request = HttpRequest()
+        self.size = 0
+        self.parts = []
         self.awaiting_since = self.awaiting_since or now_us()
 
     def on_url(self, data: bytes) -> None:
+        """Appends to the target of the request; one that is too long is rejected."""
         self.request.target += data.decode("ascii")
         if len(self.request.target) > MAX_URL_LENGTH:
             self.request.error_status = self.request.error_status or HTTPStatus.REQUEST_URI_TOO_LONG
             self.request.target = self.request.target[:MAX_URL_LENGTH]
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Stores a header. Duplicates of headers that decide on access or framing are rejected."""
         self.size += len(name) + len(value)
         if self.size > MAX_HEADER_BYTES:
             self.request.error_status = (
@@ -103,7 +117,7 @@
         self.request.headers[key] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """A body that is announced too large is answered without being read."""
+        """Rejects a request that announces too large a body, without reading the body."""
         self.size = 0
         length = self.request.headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.max_body:
@@ -111,6 +125,7 @@
             self.on_message_complete()
 
     def on_body(self, data: bytes) -> None:
+        """Collects a part of the body; a body that is too large is discarded and rejected."""
         self.size += len(data)
         if self.size > self.max_body:
             self.request.error_status = self.request.error_status or HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -119,6 +134,7 @@
             self.parts.append(data)
 
     def on_message_complete(self) -> None:
+        """Queues the request for its response."""
         request = self.request
         request.method = self.parser.get_method().decode("ascii")
         request.body = b"".join(self.parts)
@@ -126,54 +142,60 @@
         request.out_of_touch = self.stream.out_of_touch
         request.keep_alive = self.parser.should_keep_alive() and request.error_status is None
         self.pending.append(request)
-        self.had_request, self.awaiting_since = True, 0
+        self.had_request = True
+        self.awaiting_since = 0
         self.wake.set()
 
     def spare(self) -> bool:
-        """Nothing is owed to it, though half a request may be here."""
+        """Whether no response is due, though part of a request may have arrived."""
         return not self.busy and not self.pending
 
     def is_idle(self) -> bool:
+        """Whether no response is due and no request is being received."""
         return self.spare() and not (self.received_data and self.awaiting_since)
 
     def still(self, now: int) -> int:
+        """Returns the microseconds without activity, weighted up for a connection that never sent a byte."""
         return (now - self.last_activity) * (1 if self.received_data else SILENT)
 
     def is_overdue(self) -> bool:
-        """No whole request for long: bytes that trickle in do not count, nor does silence."""
+        """Whether the next whole request took too long. Bytes that trickle in do not extend the time."""
         now = now_us()
         if self.awaiting_since and now - self.awaiting_since > REQUEST_TIMEOUT * 1e6:
             return True
         return self.spare() and now - self.last_activity > IDLE_TIMEOUT * 1e6
 
-    # ---- Two tasks
+    # ---- One task reads, another one answers
     async def run(self) -> None:
+        """Serves the connection until it is closed by either side."""
         reader = asyncio.current_task()
         assert reader is not None
         self.tasks = [reader, asyncio.create_task(self._answer())]
-        room = memoryview(bytearray(16_384))
+        buffer = memoryview(bytearray(READ_SIZE))
         try:
             while not self.closed:
-                got = await self.stream.receive_into(room)
-                if not got:
+                received = await self.stream.receive_into(buffer)
+                if not received:
                     break
-                self.received_data, self.last_activity = True, now_us()
-                self.parser.feed_data(room[:got])
+                self.received_data = True
+                self.last_activity = now_us()
+                self.parser.feed_data(buffer[:received])
                 if self.pending and self.pending[-1].error_status:
-                    await asyncio.sleep(WRITE_TIMEOUT)  # its answer ends the connection, and this task
+                    # Reads no further: the response closes the connection and cancels this task.
+                    await asyncio.sleep(WRITE_TIMEOUT)
                 if len(self.pending) > MAX_PIPELINED or self.size > 4 * self.max_body + MAX_HEADER_BYTES:
                     break
         except httptools.HttpParserUpgrade:
             pass
         except (httptools.HttpParserError, httptools.HttpParserCallbackError, UnicodeDecodeError):
-            await self._bad()
+            await self._reject_malformed()
         except (OSError, TimeoutError):
             pass
         finally:
             self.close()
 
-    async def _bad(self) -> None:
-        """What came is no HTTP: one answer, if none is under way, and the end."""
+    async def _reject_malformed(self) -> None:
+        """Answers bytes that are not HTTP with 400, unless another response is under way."""
         if self.busy or self.pending:
             return
         with contextlib.suppress(OSError, TimeoutError):
@@ -198,7 +220,8 @@
                         await self.stream.send_all(
                             encode(response, request.keep_alive, request.method == "HEAD")
                         )
-                    self.busy, self.last_activity = False, now_us()
+                    self.busy = False
+                    self.last_activity = now_us()
                     if not request.keep_alive:
                         return
         except (OSError, TimeoutError):
@@ -207,13 +230,16 @@
             self.close()
 
     async def _handle(self, request: HttpRequest) -> Response:
+        """Calls the handler. An exception fails this request alone; its text may hold a token, so it is not
+        logged."""
         try:
             return await self.handler(request)
-        except Exception as problem:  # one bad request must not end the program; its text may hold a token
-            logs.say(f"http: {type(problem).__name__} in a call")
+        except Exception as error:
+            logs.say(f"http: {type(error).__name__} while handling a request")
             return Response(HTTPStatus.INTERNAL_SERVER_ERROR)
 
     def close(self) -> None:
+        """Closes the connection and cancels its tasks."""
         if self.closed:
             return
         self.closed = True
@@ -223,11 +249,12 @@
         self.stream.close()
 
 
-def encode(response: Response, keep: bool, head: bool = False) -> bytes:
+def encode(response: Response, keep_alive: bool, head_only: bool = False) -> bytes:
+    """Returns the bytes of a response, without its body for `head_only`."""
     lines = [f"HTTP/1.1 {response.status.value} {response.status.phrase}"]
     lines += [f"{name}: {value}" for name, value in response.headers.items()]
     if response.status is not HTTPStatus.NOT_MODIFIED:
         lines.append(f"Content-Length: {len(response.body)}")
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
-    return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + (b"" if head else response.body)
+    return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + (b"" if head_only else response.body)
--- a/onyxpulley/operator_config.py
+++ b/onyxpulley/operator_config.py
@@ -1,4 +1,7 @@
-"""The operator's file: the signed front, the administration API, the tenants. Absent on the platform."""
+"""Reads the operator's configuration file: signed front, administration API, tenants, identities and records.
+
+The file is optional; without it the router serves the platform's protocol alone.
+"""
 
 from __future__ import annotations
 
@@ -19,33 +22,36 @@
 
 @dataclass(slots=True)
 class OperatorConfig:
+    """The contents of the operator's file. What None stands for is not set up."""
+
     tenants: Tenants
-    signed_listen: tuple[str, int] | None  # the signed front
-    public_url: str
-    signature_boxes: frozenset[str]  # the servers that want signatures
-    admin_listen: tuple[str, int] | None
-    admin_roles: dict[str, str]
+    signed_listen: tuple[str, int] | None  # host and port of the signed front
+    public_url: str  # scheme and host under which clients reach the signed front
+    signature_boxes: frozenset[str]  # ids of the servers to which the tokens of requests are passed on
+    admin_listen: tuple[str, int] | None  # host and port of the administration API
+    admin_roles: dict[str, str]  # by the callers' SPIFFE IDs
     identities: IdentitySettings | None
     records: Keep | None = None
 
 
 def load(path: Path) -> OperatorConfig:
-    """Raises BadConfig with one clear line."""
+    """Reads the file. Raises BadConfig with a one-line message."""
     try:
         with path.open("rb") as file:
             table = tomllib.load(file)
         return _read(table, path.parent)
-    except OSError as problem:
-        raise BadConfig(f"cannot read {path}: {problem.strerror}") from problem
-    except tomllib.TOMLDecodeError as problem:
-        raise BadConfig(f"{path}: no TOML: {problem}") from problem
-    except (InvalidTenant, InvalidIdentity) as problem:
-        raise BadConfig(f"{path}: {problem}") from problem
-    except (KeyError, TypeError, AttributeError) as problem:
-        raise BadConfig(f"{path}: {type(problem).__name__}: {problem}") from problem
+    except OSError as error:
+        raise BadConfig(f"cannot read {path}: {error.strerror}") from error
+    except tomllib.TOMLDecodeError as error:
+        raise BadConfig(f"{path}: not valid TOML: {error}") from error
+    except (InvalidTenant, InvalidIdentity) as error:
+        raise BadConfig(f"{path}: {error}") from error
+    except (KeyError, TypeError, AttributeError) as error:
+        raise BadConfig(f"{path}: {type(error).__name__}: {error}") from error
 
 
 def check_keys(table: dict[str, Any], label: str, *names: str) -> dict[str, Any]:
+    """Returns the table. Raises BadConfig if it has a key that is not in `names`."""
     unknown = set(table) - set(names)
     if unknown:
         raise BadConfig(f"{label}: unknown key {sorted(unknown)[0]!r}")
@@ -57,38 +63,40 @@
     tenants = Tenants()
     for row in table.get("tenants", []):
         if row.get("name") in tenants.by_name:
-            raise BadConfig(f"tenant {row['name']} is there twice")
+            raise BadConfig(f"tenant {row['name']} is defined twice")
         tenants.put(read_tenant(row))
     signed = check_keys(table.get("signed", {}), "signed", "listen", "public", "signature_boxes")
     admin = check_keys(
         table.get("admin", {}), "admin", "listen", "certificate", "key", "bundle", "trust_domain", "allow"
     )
     identities = _identities(table.get("identities"), folder)
-    if admin and identities is None:  # its own files are all that it needs
+    if admin and identities is None:  # the administration API has certificates of its own
         names = ("trust_domain", "certificate", "key", "bundle")
         identities = _identities({name: admin[name] for name in names}, folder)
     elif admin and set(admin) & {"certificate", "key", "bundle", "trust_domain"}:
-        raise BadConfig("admin: certificate, key, bundle and trust_domain stand in [identities] alone")
-    allow: dict[str, str] = {}
+        raise BadConfig(
+            "admin: certificate, key, bundle and trust_domain belong in [identities] where there is one"
+        )
+    admin_roles: dict[str, str] = {}
     for row in admin.get("allow", []):
         check_keys(row, "admin.allow", "id", "role")
         if row["role"] not in ROLES:
-            raise BadConfig(f"admin.allow: role is one of {', '.join(ROLES)}")
+            raise BadConfig(f"admin.allow: role must be one of {', '.join(ROLES)}")
         caller = read_spiffe_id(row["id"], "admin.allow")
         assert identities is not None
         if caller.trust_domain not in {
             identities.trust_domain,
             *(identities.files.federated if identities.files else ()),
         }:
-            raise BadConfig(f"admin.allow: {row['id']} is of a trust domain that is not named")
-        allow[row["id"]] = row["role"]
+            raise BadConfig(f"admin.allow: {row['id']} is not of a configured trust domain")
+        admin_roles[row["id"]] = row["role"]
     return OperatorConfig(
         tenants,
         address(signed["listen"], "signed.listen") if signed else None,
         str(signed["public"]) if signed else "",
         frozenset(signed.get("signature_boxes", [])),
         address(admin["listen"], "admin.listen") if admin else None,
-        allow,
+        admin_roles,
         identities,
         _records(table.get("records"), folder),
     )
@@ -98,18 +106,18 @@
     if table is None:
         return None
     check_keys(table, "records", "folder", "file_mb", "files")
-    size, files = table.get("file_mb", 64), table.get("files", 16)
-    if not isinstance(size, int | float) or not 0.01 <= size <= 1024:
-        raise BadConfig("records: file_mb is a number from 0.01 to 1024")
+    file_mb, files = table.get("file_mb", 64), table.get("files", 16)
+    if not isinstance(file_mb, int | float) or not 0.01 <= file_mb <= 1024:
+        raise BadConfig("records: file_mb must be a number from 0.01 to 1024")
     if isinstance(files, bool) or not isinstance(files, int) or not 1 <= files <= 10_000:
-        raise BadConfig("records: files is a whole number from 1 to 10000")
-    return Keep(folder / table["folder"], float(size), files)
+        raise BadConfig("records: files must be an integer from 1 to 10000")
+    return Keep(folder / table["folder"], float(file_mb), files)
 
 
-def _seconds(table: dict[str, Any], name: str, usual: float, most: float = 1e9) -> float:
-    value = table.get(name, usual)
+def _seconds(table: dict[str, Any], name: str, default: float, most: float = 1e9) -> float:
+    value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= most:
-        raise BadConfig(f"identities: {name} is a number of seconds up to {most:g}")
+        raise BadConfig(f"identities: {name} must be a number of seconds from 0 to {most:g}")
     return float(value)
 
 
@@ -121,42 +129,44 @@
         table, label, "trust_domain", "workload_api", "hint", "certificate", "key", "bundle", "federated",
         "skew_s", "servers", "callers",
     )  # fmt: skip
-    domain = read_trust_domain(table["trust_domain"], f"{label}.trust_domain")
-    agent = str(table.get("workload_api", ""))
+    trust_domain = read_trust_domain(table["trust_domain"], f"{label}.trust_domain")
+    agent_address = str(table.get("workload_api", ""))
     files = None
-    if bool(agent) == ("certificate" in table):
-        raise BadConfig(f"{label}: either workload_api, or certificate, key and bundle")
-    if agent:
-        if not agent.startswith("unix:"):
-            address(agent, f"{label}.workload_api")
+    if bool(agent_address) == ("certificate" in table):
+        raise BadConfig(f"{label}: needs either workload_api, or certificate, key and bundle")
+    if agent_address:
+        if not agent_address.startswith("unix:"):
+            address(agent_address, f"{label}.workload_api")
         if "federated" in table:
-            raise BadConfig(f"{label}: federated bundles come from the Workload API")
+            raise BadConfig(f"{label}: federated cannot be set with workload_api, which provides the bundles")
     else:
         paths = [folder / table[name] for name in ("certificate", "key", "bundle")]
         federated = table.get("federated", {})
-        other = {read_trust_domain(n, f"{label}.federated"): folder / path for n, path in federated.items()}
-        if domain in other:
-            raise BadConfig(f"{label}.federated: {domain} is the own trust domain")
-        files = IdentityFiles(paths[0], paths[1], paths[2], domain, other)
+        federated_paths = {
+            read_trust_domain(name, f"{label}.federated"): folder / path for name, path in federated.items()
+        }
+        if trust_domain in federated_paths:
+            raise BadConfig(f"{label}.federated: {trust_domain} is the router's own trust domain")
+        files = IdentityFiles(paths[0], paths[1], paths[2], trust_domain, federated_paths)
     servers = check_keys(
         table.get("servers", {}), f"{label}.servers", "expect", "entries", "renew_after_s", "end_after_s"
     )
-    expect, entries = str(servers.get("expect", "")), servers.get("entries")
-    if servers and not (expect or entries):
-        raise BadConfig(f"{label}.servers: expect, or entries, or both")
-    ExpectedIdentities(expect)  # a bad template is said here
-    rules = ConnectionLifetime(
+    template, entries = str(servers.get("expect", "")), servers.get("entries")
+    if servers and not (template or entries):
+        raise BadConfig(f"{label}.servers: needs expect, or entries, or both")
+    ExpectedIdentities(template)  # raises InvalidIdentity for a bad template
+    lifetime = ConnectionLifetime(
         _seconds(servers, "renew_after_s", 3600.0), _seconds(servers, "end_after_s", 3.0, 60.0)
     )
     callers = table.get("callers")
     return IdentitySettings(
-        domain,
+        trust_domain,
         files,
-        agent,
+        agent_address,
         bool(servers),
-        expect,
+        template,
         folder / entries if entries else None,
-        rules,
+        lifetime,
         read_callers(callers, f"{label}.callers") if callers is not None else None,
         str(table.get("hint", "")),
         _seconds(table, "skew_s", 0.0, 300.0),
--- a/onyxpulley/tenants.py
+++ b/onyxpulley/tenants.py
@@ -1,6 +1,6 @@
-"""Tenants, their keys and quotas, and the check of signed URLs (RFC 9246) and bearer tokens (RFC 7519).
+"""Tenants, their keys and quotas, and the verification of signed URLs (RFC 9246) and JWTs (RFC 7519).
 
-Nothing here writes a token or a key anywhere: problems are worded without them.
+No token or key is ever written to a log or an error message.
 """
 
 from __future__ import annotations
@@ -18,147 +18,166 @@
 
 from onyxpulley.clock import unix_seconds
 
-ALGORITHMS = {  # the only ones: each is pinned to a kind of key, so none can stand in for another
+# Algorithm -> (JWK key type, least key size: bytes for HS256, bits for RS256). Each algorithm has one key
+# type, so that a token cannot choose another algorithm for a key (algorithm confusion).
+ALGORITHMS = {
     "HS256": ("oct", 32),
     "ES256": ("EC", 0),
     "RS256": ("RSA", 2048),
     "EdDSA": ("OKP", 0),
 }
-MAX_USED_TOKEN_IDS = 10_000  # of one tenant
-MAX_KEYS = 16  # of one tenant
+MAX_USED_TOKEN_IDS = 10_000  # per tenant
+MAX_KEYS = 16  # per tenant
 MAX_TENANTS = 1_000
-MAX_TOKEN_LENGTH = 4_096  # characters of a token
-MAX_REGEX_LENGTH = 512  # characters of a regex container
+MAX_TOKEN_LENGTH = 4_096  # characters
+MAX_REGEX_LENGTH = 512  # characters of a URI container's regular expression
+REGEX_MEMORY = 1 << 20  # bytes for a compiled regular expression
 CLAIMS = "iss sub aud exp nbf iat jti cdniv cdnicrit cdniip cdniuc cdniets cdnistt cdnistd"
 KNOWN_CLAIMS = frozenset(CLAIMS.split(" "))
-UNSUPPORTED_CLAIMS = (
-    "cdniip",
-    "cdniets",
-    "cdnistt",
-    "cdnistd",
-)  # to pass them over would widen what was signed
+# These restrict what a token allows. A token that has one is rejected: to ignore it would widen the grant.
+UNSUPPORTED_CLAIMS = ("cdniip", "cdniets", "cdnistt", "cdnistd")
 TENANT_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 KEY_ID = re.compile(r"[A-Za-z0-9._-]{1,128}")
 OBJECT_PREFIX = re.compile(r"[0-9a-f]{1,16}")
 
 
 class InvalidTenant(ValueError):
-    """A tenant or key that cannot be taken in; the text says why and names no secret."""
+    """A tenant or key that cannot be accepted; the message gives the reason and contains no secret."""
 
 
 class AccessDenied(Exception):
-    """A token that is not accepted. `code` is one of RFC 6750's words."""
+    """A token that is not accepted. `code` is an error code of RFC 6750."""
 
     def __init__(self, reason: str, code: str = "invalid_token") -> None:
         super().__init__(reason)
-        self.reason, self.code = reason, code
+        self.reason = reason
+        self.code = code
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
+    """A key with which a tenant's tokens are verified."""
+
     kid: str
     alg: str
     jwk: OctKey | RSAKey | ECKey | OKPKey = field(repr=False)
 
     def describe(self) -> dict[str, str]:
-        """What the API tells of it. The thumbprint of a shared secret would let it be guessed offline."""
-        row = {"kid": self.kid, "alg": self.alg}
+        """Returns what the administration API shows of the key.
+
+        There is no thumbprint of a shared secret, since it would allow the secret to be guessed offline.
+        """
+        description = {"kid": self.kid, "alg": self.alg}
         if self.alg != "HS256":
-            row["thumbprint"] = self.jwk.thumbprint()
-        return row
+            description["thumbprint"] = self.jwk.thumbprint()
+        return description
 
 
-def read_key(row: dict[str, Any]) -> Key:
-    """A key from {kid, alg, jwk}."""
-    if not isinstance(row, dict) or set(row) != {"kid", "alg", "jwk"}:
-        raise InvalidTenant("a key has kid, alg and jwk")
-    kid, alg = row["kid"], row["alg"]
+def read_key(table: dict[str, Any]) -> Key:
+    """Reads a key from a table with `kid`, `alg` and `jwk`. Raises InvalidTenant."""
+    if not isinstance(table, dict) or set(table) != {"kid", "alg", "jwk"}:
+        raise InvalidTenant("a key must have exactly the fields kid, alg and jwk")
+    kid, alg = table["kid"], table["alg"]
     if not isinstance(kid, str) or not KEY_ID.fullmatch(kid):
-        raise InvalidTenant("bad kid")
+        raise InvalidTenant("kid must be 1 to 128 letters, digits, dots, underscores or hyphens")
     if alg not in ALGORITHMS:
-        raise InvalidTenant(f"alg is one of {', '.join(ALGORITHMS)}")
-    kind, least = ALGORITHMS[alg]
-    if not isinstance(row["jwk"], dict) or row["jwk"].get("kty") != kind:
-        raise InvalidTenant(f"key {kid}: {alg} wants a jwk of kty {kind}")
+        raise InvalidTenant(f"key {kid}: alg must be one of {', '.join(ALGORITHMS)}")
+    key_type, min_size = ALGORITHMS[alg]
+    if not isinstance(table["jwk"], dict) or table["jwk"].get("kty") != key_type:
+        raise InvalidTenant(f"key {kid}: {alg} needs a jwk of kty {key_type}")
     try:
-        jwk = import_key(row["jwk"])
-        if alg == "HS256" and len(jwk.raw_value) < least:  # type: ignore[arg-type]
-            raise InvalidTenant(f"key {kid}: shorter than {least} bytes")
-        if alg == "RS256" and jwk.raw_value.key_size < least:  # type: ignore[union-attr]
-            raise InvalidTenant(f"key {kid}: shorter than {least} bits")
-        if kind in ("EC", "OKP") and row["jwk"].get("crv") not in ("P-256", "Ed25519"):
-            raise InvalidTenant(f"key {kid}: curve is P-256 or Ed25519")
+        jwk = import_key(table["jwk"])
+        if alg == "HS256" and len(jwk.raw_value) < min_size:  # type: ignore[arg-type]
+            raise InvalidTenant(f"key {kid}: shorter than {min_size} bytes")
+        if alg == "RS256" and jwk.raw_value.key_size < min_size:  # type: ignore[union-attr]
+            raise InvalidTenant(f"key {kid}: shorter than {min_size} bits")
+        if key_type in ("EC", "OKP") and table["jwk"].get("crv") not in ("P-256", "Ed25519"):
+            raise InvalidTenant(f"key {kid}: crv must be P-256 or Ed25519")
     except InvalidTenant:
         raise
-    except Exception:  # whatever the library makes of it; its text may hold the key
+    except Exception:  # the library's exceptions are of many types, and their text may contain the key
         raise InvalidTenant(f"key {kid}: the jwk cannot be read") from None
     return Key(kid, alg, jwk)
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What a good token allows."""
+    """What a valid token allows."""
 
     tenant: Tenant
-    jti: str
-    exp: float
+    jti: str  # empty where the token may be used more than once
+    exp: float  # Unix seconds
 
 
 @dataclass(slots=True)
 class Usage:
-    """What a tenant uses now. Outlives a change of the tenant, not its removal."""
+    """A tenant's current use of its quota, and its counters.
+
+    Kept when the tenant is changed, dropped when it is removed.
+    """
 
     open_requests: int = 0
-    quota_tokens: float = 0.0  # of the bucket
-    refilled_at: float = 0.0
-    counts: dict[str, int] = field(default_factory=dict)
-    used_token_ids: dict[str, float] = field(default_factory=dict)  # jti of accepted jobs, until when
+    quota_tokens: float = 0.0  # requests that the token bucket allows now
+    refilled_at: float = 0.0  # monotonic seconds of the bucket's last refill
+    counts: dict[str, int] = field(default_factory=dict)  # requests by how they ended
+    used_token_ids: dict[str, float] = field(default_factory=dict)  # jti -> expiry in Unix seconds
 
     def use_token(self, grant: Grant) -> bool:
-        """Takes the token of a job once (RFC 9246, jti). False: it was used, or no more can be remembered."""
+        """Marks a single-use token (RFC 9246, jti) as used.
+
+        Returns False if it was used before, or if no more token ids can be remembered.
+        """
         now = unix_seconds()
         if len(self.used_token_ids) >= MAX_USED_TOKEN_IDS:
-            self.used_token_ids = {jti: end for jti, end in self.used_token_ids.items() if end > now}
+            self.used_token_ids = {jti: expiry for jti, expiry in self.used_token_ids.items() if expiry > now}
         if grant.jti in self.used_token_ids or len(self.used_token_ids) >= MAX_USED_TOKEN_IDS:
             return False
         self.used_token_ids[grant.jti] = grant.exp
         return True
 
-    def count(self, word: str) -> None:
-        self.counts[word] = self.counts.get(word, 0) + 1
+    def count(self, result: str) -> None:
+        """Counts one request by how it ended."""
+        self.counts[result] = self.counts.get(result, 0) + 1
 
 
 @dataclass(eq=False, slots=True)
 class Tenant:
+    """A tenant with its objects, quota and keys."""
+
     name: str
-    issuer: str
-    audience: str
-    prefixes: tuple[str, ...]  # its objects: those whose id begins so
-    quota_rps: float
-    most_open: int
-    keys: dict[str, Key] = field(default_factory=dict)
+    issuer: str  # the `iss` of its tokens
+    audience: str  # an `aud` of its tokens
+    prefixes: tuple[str, ...]  # its objects are those whose id starts with one of these
+    quota_rps: float  # requests per second
+    most_open: int  # requests at a time
+    keys: dict[str, Key] = field(default_factory=dict)  # by kid
     usage: Usage = field(default_factory=Usage)
 
     def owns(self, item: str) -> bool:
+        """Whether an object is one of the tenant's."""
         return item.startswith(self.prefixes)
 
     def admit(self, now: float) -> float:
-        """Takes one request of the quota: 0, or the seconds until the next would fit."""
-        burst, used = max(1.0, self.quota_rps), self.usage
-        if used.open_requests >= self.most_open:
+        """Takes one request from the quota, a token bucket that holds one second's worth of requests.
+
+        Returns 0 if the request is admitted, else the seconds after which to try again.
+        """
+        burst, usage = max(1.0, self.quota_rps), self.usage
+        if usage.open_requests >= self.most_open:
             return 1.0
-        used.quota_tokens = (
-            min(burst, used.quota_tokens + (now - used.refilled_at) * self.quota_rps)
-            if used.refilled_at
+        usage.quota_tokens = (
+            min(burst, usage.quota_tokens + (now - usage.refilled_at) * self.quota_rps)
+            if usage.refilled_at
             else burst
         )
-        used.refilled_at = now
-        if used.quota_tokens < 1.0:
-            return (1.0 - used.quota_tokens) / self.quota_rps
-        used.quota_tokens -= 1.0
+        usage.refilled_at = now
+        if usage.quota_tokens < 1.0:
+            return (1.0 - usage.quota_tokens) / self.quota_rps
+        usage.quota_tokens -= 1.0
         return 0.0
 
     def describe(self) -> dict[str, Any]:
+        """Returns what the administration API shows of the tenant."""
         return {
             "name": self.name,
             "issuer": self.issuer,
@@ -170,73 +189,82 @@
         }
 
 
-def _number(row: dict[str, Any], name: str, default: float, least: float, most: float) -> float:
-    value = row.get(name, default)
+def _number(table: dict[str, Any], name: str, default: float, least: float, most: float) -> float:
+    value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-        raise InvalidTenant(f"{name} is a number from {least:g} to {most:g}")
+        raise InvalidTenant(f"{name} must be a number from {least:g} to {most:g}")
     return value
 
 
-def read_tenant(row: dict[str, Any]) -> Tenant:
-    """A tenant from the operator's file or the API."""
-    unknown = set(row) - {"name", "issuer", "audience", "prefixes", "quota_rps", "most_open", "keys"}
+def read_tenant(table: dict[str, Any]) -> Tenant:
+    """Reads a tenant from the operator's file or the administration API. Raises InvalidTenant."""
+    unknown = set(table) - {"name", "issuer", "audience", "prefixes", "quota_rps", "most_open", "keys"}
     if unknown:
         raise InvalidTenant(f"unknown field {sorted(unknown)[0]!r}")
     for name in ("name", "issuer", "audience"):
-        if not isinstance(row.get(name), str) or not 0 < len(row[name]) <= 256:
-            raise InvalidTenant(f"{name} is missing or not a text")
-    if not TENANT_NAME.fullmatch(row["name"]):
-        raise InvalidTenant("name: small letters, digits and hyphens")
-    prefixes = row.get("prefixes")
+        if not isinstance(table.get(name), str) or not 0 < len(table[name]) <= 256:
+            raise InvalidTenant(f"{name} must be a string of 1 to 256 characters")
+    if not TENANT_NAME.fullmatch(table["name"]):
+        raise InvalidTenant(
+            "name must be 1 to 63 lower-case letters, digits or hyphens, and not start with a hyphen"
+        )
+    prefixes = table.get("prefixes")
     if not isinstance(prefixes, list) or not prefixes or len(prefixes) > 64:
-        raise InvalidTenant("prefixes is a list of 1 to 64")
-    if not all(isinstance(p, str) and OBJECT_PREFIX.fullmatch(p) for p in prefixes):
-        raise InvalidTenant("a prefix is 1 to 16 hex digits")
+        raise InvalidTenant("prefixes must be a list of 1 to 64 prefixes")
+    if not all(isinstance(prefix, str) and OBJECT_PREFIX.fullmatch(prefix) for prefix in prefixes):
+        raise InvalidTenant("each of prefixes must be 1 to 16 lower-case hex digits")
     tenant = Tenant(
-        row["name"],
-        row["issuer"],
-        row["audience"],
+        table["name"],
+        table["issuer"],
+        table["audience"],
         tuple(prefixes),
-        float(_number(row, "quota_rps", 50, 0.01, 100_000)),
-        int(_number(row, "most_open", 64, 1, 2_000)),
+        float(_number(table, "quota_rps", 50, 0.01, 100_000)),
+        int(_number(table, "most_open", 64, 1, 2_000)),
     )
-    keys = row.get("keys", [])
+    keys = table.get("keys", [])
     if not isinstance(keys, list):
-        raise InvalidTenant("keys is a list")
-    for item in keys:
-        add_key(tenant, read_key(item))
+        raise InvalidTenant("keys must be a list")
+    for key in keys:
+        add_key(tenant, read_key(key))
     return tenant
 
 
 def add_key(tenant: Tenant, key: Key) -> None:
+    """Adds a key to a tenant. Raises InvalidTenant if its kid is in use or the tenant has too many keys."""
     if key.kid in tenant.keys:
-        raise InvalidTenant(f"key {key.kid} is there already")
+        raise InvalidTenant(f"the tenant already has a key {key.kid}")
     if len(tenant.keys) >= MAX_KEYS:
-        raise InvalidTenant(f"a tenant has {MAX_KEYS} keys at most")
+        raise InvalidTenant(f"a tenant can have at most {MAX_KEYS} keys")
     tenant.keys[key.kid] = key
 
 
 class Tenants:
-    """All tenants. No object may belong to two."""
+    """All tenants by name. No object can belong to two of them."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Tenant] = {}
 
     def put(self, tenant: Tenant) -> None:
-        """Adds one, or puts it in the place of its namesake, whose running counts it keeps."""
+        """Adds a tenant, or replaces the one of the same name and keeps its usage.
+
+        Raises InvalidTenant if there are too many tenants or a prefix overlaps with another tenant's.
+        """
         old = self.by_name.get(tenant.name)
         if old is None and len(self.by_name) >= MAX_TENANTS:
-            raise InvalidTenant(f"{MAX_TENANTS} tenants at most")
+            raise InvalidTenant(f"there can be at most {MAX_TENANTS} tenants")
         for other in self.by_name.values():
-            for a in other.prefixes if other is not old else ():
-                if any(a.startswith(b) or b.startswith(a) for b in tenant.prefixes):
-                    raise InvalidTenant(f"prefix {a} is another tenant's")
+            for prefix in other.prefixes if other is not old else ():
+                if any(prefix.startswith(own) or own.startswith(prefix) for own in tenant.prefixes):
+                    raise InvalidTenant(f"prefix {prefix} is another tenant's")
         if old is not None:
             tenant.usage = old.usage
         self.by_name[tenant.name] = tenant
 
     def verify(self, name: str, token: str, url: str) -> Grant:
-        """What is allowed, if `token` is one of its own, good now and for this `url`. Raises AccessDenied."""
+        """Returns what `token` allows the tenant `name` at `url`.
+
+        Raises AccessDenied unless the token is signed by a key of the tenant, valid now and issued for `url`.
+        """
         tenant = self.by_name.get(name)
         if tenant is None:
             raise AccessDenied("unknown tenant")
@@ -270,7 +298,7 @@
 
 
 def _signed_claims(tenant: Tenant, token: str) -> dict[str, Any]:
-    """The claims under a good signature by one of the tenant's own keys, with the key's own algorithm."""
+    """Returns the claims of a token after verifying its signature with the tenant's key and its algorithm."""
     if len(token) > MAX_TOKEN_LENGTH:
         raise AccessDenied("token too long")
     try:
@@ -289,6 +317,7 @@
 
 
 def _date(claims: dict[str, Any], name: str) -> float:
+    """Returns a claim that is a date, in Unix seconds. Raises AccessDenied."""
     value = claims.get(name)
     if isinstance(value, bool) or not isinstance(value, int | float) or not -(2**53) < value < 2**53:
         raise AccessDenied(f"{name} is missing or not a date")
@@ -296,23 +325,27 @@
 
 
 def container_matches(container: object, url: str) -> bool:
-    """Is `url`, without its signing package, what the URI Container (cdniuc) stands for?"""
+    """Whether a URI container (claim cdniuc) covers `url`, which has no signing package."""
     if not isinstance(container, str):
         return False
     kind, _, value = container.partition(":")
     if kind == "hash":
-        name, _, digest = value.partition(";")
-        found = urlsafe_b64encode(hashlib.sha256(url.encode()).digest()).rstrip(b"=").decode()
-        return name == "sha-256" and digest == found
+        algorithm, _, digest = value.partition(";")
+        url_digest = urlsafe_b64encode(hashlib.sha256(url.encode()).digest()).rstrip(b"=").decode()
+        return algorithm == "sha-256" and digest == url_digest
     if kind == "regex" and len(value) <= MAX_REGEX_LENGTH:
         return _matches(value, url)
     return False
 
 
 def _matches(pattern: str, url: str) -> bool:
-    """The whole URI, in linear time: a tenant's pattern must not hold up the others."""
+    """Whether a pattern matches the whole URL.
+
+    RE2 matches in linear time, so that a tenant's pattern cannot delay the requests of others.
+    """
     options = re2.Options()
-    options.max_mem, options.log_errors = 1 << 20, False
+    options.max_mem = REGEX_MEMORY
+    options.log_errors = False
     try:
         return re2.compile(pattern, options).fullmatch(url) is not None
     except re2.error:
@@ -323,13 +356,16 @@
 
 
 def split_signing_package(url: str) -> tuple[str, str]:
-    """The URL without its signing package, and the package ('' where there is none)."""
-    found = SIGNING_PACKAGE.search(url)
-    if found is None:
+    """Returns the URL without its signing package, and the package, or "" if there is none.
+
+    Raises AccessDenied if there are two packages.
+    """
+    match = SIGNING_PACKAGE.search(url)
+    if match is None:
         return url, ""
-    before, after = url[: found.start()], url[found.end() :]
-    if found[1] == "?" and after.startswith("&"):
+    before, after = url[: match.start()], url[match.end() :]
+    if match[1] == "?" and after.startswith("&"):
         after = "?" + after[1:]
     if "URISigningPackage" in after:
         raise AccessDenied("two signing packages", "invalid_request")
-    return before + after, found[2]
+    return before + after, match[2]
