--- a/onyxpulley/spiffe/__init__.py
+++ b/onyxpulley/spiffe/__init__.py
@@ -1,5 +1,5 @@
-"""SPIFFE identities: who this router is, whom it trusts, and whom it expects. Off on the platform.
+"""SPIFFE identities: the router's own SVID, the trust bundles, and the verification of servers and callers.
 
-Free of I/O: `ids`, `svids`, `state`, `peers`, `pace`. On files and sockets: `sources`, `workload`, `tls`,
-`trust`.
+`ids`, `svids`, `store`, `peers` and `backoff` do no I/O. `files`, `workload`, `tls` and `manager` use files
+and sockets; `settings` holds what the operator's file configures.
 """
--- a/onyxpulley/spiffe/files.py
+++ b/onyxpulley/spiffe/files.py
@@ -1,4 +1,4 @@
-"""Identities and expectations from files: read whole when they change, kept as they were when bad."""
+"""Reads the router's identity and the expected identities of servers from files, and notices changes."""
 
 from __future__ import annotations
 
@@ -16,93 +16,103 @@
 from onyxpulley.spiffe.store import IdentityUpdate
 from onyxpulley.spiffe.svids import Bundle, read_bundle, read_chain, read_svid
 
-MAX_FILE_BYTES = 4_000_000  # bytes of one file
+MAX_FILE_BYTES = 4_000_000
 
 
 def read_file(path: Path, label: str) -> bytes:
+    """Returns the contents of a file. `label` names the setting in errors. Raises InvalidIdentity."""
     try:
         data = path.read_bytes()
-    except OSError as problem:
-        raise InvalidIdentity(f"{label}: {path.name}: {problem.strerror}") from problem
+    except OSError as error:
+        raise InvalidIdentity(f"{label}: {path.name}: {error.strerror}") from error
     if len(data) > MAX_FILE_BYTES:
         raise InvalidIdentity(f"{label}: {path.name}: larger than {MAX_FILE_BYTES} bytes")
     return data
 
 
 def read_certificates(path: Path, label: str) -> list[x509.Certificate]:
+    """Returns the PEM certificates of a file. Raises InvalidIdentity."""
     try:
         return x509.load_pem_x509_certificates(read_file(path, label))
-    except ValueError as problem:
-        raise InvalidIdentity(f"{label}: {path.name}: no PEM certificates") from problem
+    except ValueError as error:
+        raise InvalidIdentity(f"{label}: {path.name}: contains no valid PEM certificates") from error
 
 
 class FileChangeDetector:
-    """Whether any of some files is another one than at the last look."""
+    """A call returns whether any of the files has changed since the previous call.
+
+    Files are compared by modification time, size and inode; a missing one counts as a state of its own.
+    """
 
     def __init__(self, paths: Sequence[Path]) -> None:
         self.paths = paths
-        self.last_state = self._stamp()
+        self.last_state = self._state()
 
-    def _stamp(self) -> list[object]:
-        found: list[object] = []
+    def _state(self) -> list[object]:
+        state: list[object] = []
         for path in self.paths:
             try:
                 stat = path.stat()
-                found.append((stat.st_mtime_ns, stat.st_size, stat.st_ino))
+                state.append((stat.st_mtime_ns, stat.st_size, stat.st_ino))
             except OSError:
-                found.append(None)
-        return found
+                state.append(None)
+        return state
 
     def __call__(self) -> bool:
-        stamp = self._stamp()
-        if stamp == self.last_state:
+        state = self._state()
+        if state == self.last_state:
             return False
-        self.last_state = stamp
+        self.last_state = state
         return True
 
 
 @dataclass(frozen=True, slots=True)
 class IdentityFiles:
-    """An SVID, its key, and bundles in PEM."""
+    """The paths of an SVID, its private key and the trust bundles, all in PEM."""
 
     certificate: Path
     key: Path
     bundle: Path
     trust_domain: str
-    federated: Mapping[str, Path] = field(default_factory=dict)
+    federated: Mapping[str, Path] = field(default_factory=dict)  # bundles of other trust domains
 
     @property
     def paths(self) -> list[Path]:
+        """All files."""
         return [self.certificate, self.key, self.bundle, *self.federated.values()]
 
     def load(self) -> IdentityUpdate:
-        """Raises InvalidIdentity."""
+        """Reads all files. Raises InvalidIdentity."""
         chain = read_chain(read_certificates(self.certificate, "certificate"), "certificate")
         try:
             key = serialization.load_pem_private_key(read_file(self.key, "key"), None)
-        except (ValueError, TypeError) as problem:
-            raise InvalidIdentity(f"key: {self.key.name}: no PEM private key") from problem
+        except (ValueError, TypeError) as error:
+            raise InvalidIdentity(f"key: {self.key.name}: not an unencrypted PEM private key") from error
         svid = read_svid(chain, key, "certificate")
         bundles = {self.trust_domain: self._bundle(self.trust_domain, self.bundle)}
-        for domain, path in self.federated.items():
-            bundles[domain] = self._bundle(domain, path)
+        for trust_domain, path in self.federated.items():
+            bundles[trust_domain] = self._bundle(trust_domain, path)
         return IdentityUpdate((svid,), bundles)
 
     @staticmethod
-    def _bundle(domain: str, path: Path) -> Bundle:
-        return read_bundle(domain, read_certificates(path, "bundle"))
+    def _bundle(trust_domain: str, path: Path) -> Bundle:
+        return read_bundle(trust_domain, read_certificates(path, "bundle"))
 
 
 def read_table(path: Path, label: str) -> dict[str, Any]:
+    """Returns the contents of a TOML file. Raises InvalidIdentity."""
     try:
         return tomllib.loads(read_file(path, label).decode())
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise InvalidIdentity(f"{label}: {path.name}: no TOML: {problem}") from problem
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise InvalidIdentity(f"{label}: {path.name}: not valid TOML: {error}") from error
 
 
 def read_entries(template: str, path: Path | None) -> ExpectedIdentities:
-    """The operator's list of boxes: `[boxes]` has the id of each that is expected at all, and its identity
-    where the template does not tell it; `revoked` names identities that nobody may have any more."""
+    """Reads the operator's list of servers; without a file the template applies to all servers.
+
+    `[boxes]` maps the id of each expected server to its identity, or to "" where the template gives it;
+    `revoked` lists identities that are no longer accepted. Raises InvalidIdentity.
+    """
     if path is None:
         return ExpectedIdentities(template)
     table = read_table(path, "entries")
@@ -111,14 +121,14 @@
         raise InvalidIdentity(f"entries: {path.name}: unknown key {sorted(unknown)[0]!r}")
     boxes, revoked = table.get("boxes", {}), table.get("revoked", [])
     if not isinstance(boxes, dict) or not isinstance(revoked, list):
-        raise InvalidIdentity(f"entries: {path.name}: boxes is a table, revoked a list")
-    named = {}
+        raise InvalidIdentity(f"entries: {path.name}: boxes must be a table and revoked a list")
+    by_server = {}
     for uid, text in boxes.items():
         if not isinstance(text, str) or (not text and not template):
-            raise InvalidIdentity(f"entries: {path.name}: boxes.{uid} names no SPIFFE ID")
+            raise InvalidIdentity(f"entries: {path.name}: boxes.{uid} must be a SPIFFE ID: {text!r}")
         if text:
-            named[uid] = read_spiffe_id(text, f"entries: boxes.{uid}")
-    gone = frozenset(
-        read_spiffe_id(str(text), f"entries: revoked {no}") for no, text in enumerate(revoked, 1)
+            by_server[uid] = read_spiffe_id(text, f"entries: boxes.{uid}")
+    revoked_ids = frozenset(
+        read_spiffe_id(str(text), f"entries: revoked {number}") for number, text in enumerate(revoked, 1)
     )
-    return ExpectedIdentities(template, named, frozenset(boxes), gone)
+    return ExpectedIdentities(template, by_server, frozenset(boxes), revoked_ids)
--- a/onyxpulley/spiffe/manager.py
+++ b/onyxpulley/spiffe/manager.py
@@ -1,4 +1,4 @@
-"""Identities at work: servers and callers are verified before anything is said, and again at each write."""
+"""Applies identities to connections: peers are verified before any data is sent, and before each request."""
 
 from __future__ import annotations
 
@@ -26,91 +26,110 @@
     from onyxpulley.console import Figure
     from onyxpulley.spiffe.workload import WorkloadApiClient
 
-SERVER_HANDSHAKE_TIMEOUT = (
-    1.0  # seconds of a handshake with a server: it is two ways there and back, and some arithmetic
-)
-CALLER_HANDSHAKE_TIMEOUT = 5.0  # the same with a caller, who may be far
-MAX_SESSIONS = 1024  # servers whose last session is remembered
-MAX_LINES_PER_SECOND = 20  # of the log for refused peers, in a second
+SERVER_HANDSHAKE_TIMEOUT = 1.0  # seconds; enough for two round trips and the computations
+CALLER_HANDSHAKE_TIMEOUT = 5.0  # seconds; callers may be far away
+MAX_SESSIONS = 1024  # servers whose last TLS session is kept for resumption
+MAX_LINES_PER_SECOND = 20  # log lines on refused and untrusted peers
 
 
 class PeerNotVerified(ConnectionError):
-    """The peer was not shown to be who it should be. Nothing was sent to it."""
+    """The peer could not be verified. No data was sent to it."""
 
 
 class VerifiedServerStream:
-    """A wire to a server that showed who it is."""
+    """A TLS connection to a server whose identity was verified."""
 
     def __init__(self, manager: IdentityManager, tls: TlsStream, peer: VerifiedPeer) -> None:
-        self.manager, self.tls, self.peer = manager, tls, peer
-        self.kept = False
+        self.manager = manager
+        self.tls = tls
+        self.peer = peer
+        self.session_remembered = False
 
     @property
     def late_since(self) -> int:
+        """That of the TLS stream."""
         return self.tls.late_since
 
     def out_of_touch(self) -> bool:
+        """That of the TLS stream."""
         return self.tls.out_of_touch()
 
     async def receive_into(self, room: memoryview) -> int:
-        got = await self.tls.receive_into(room)
-        if not self.kept:  # a ticket comes behind the handshake, ahead of the first answer
-            self.kept = True
+        """Reads decrypted bytes into `room`. Returns their number, or 0 at the end of the stream."""
+        received = await self.tls.receive_into(room)
+        if not self.session_remembered:  # the session ticket follows the handshake, before the first answer
+            self.session_remembered = True
             self.manager.remember_session(self.peer, self.tls)
-        return got
+        return received
 
     def send_now(self, data: Data) -> int:
+        """Takes as many bytes as can be sent without waiting, and returns their number."""
         return self.tls.send_now(data)
 
     async def writable(self) -> None:
+        """Waits until the socket can be written to."""
         await self.tls.writable()
 
     async def send_all(self, data: Data) -> None:
+        """Sends all of `data`."""
         await self.tls.send_all(data)
 
     def close(self) -> None:
+        """Closes the connection."""
         self.tls.close()
 
     def takes(self) -> bool:
+        """Whether new requests may be sent."""
         return self.manager.peer_status(self.peer) is PeerStatus.VALID
 
     def over(self) -> bool:
-        ending = self.manager.peer_status(self.peer) is PeerStatus.CLOSING
-        return ending and self.manager.clock() >= self.peer.closes_at
+        """Whether the time of the running requests has ended, since the server is no longer trusted."""
+        closing = self.manager.peer_status(self.peer) is PeerStatus.CLOSING
+        return closing and self.manager.clock() >= self.peer.closes_at
 
 
 class IdentityManager:
-    """Holds the identities of the program; its `tick` runs with the program's sweep."""
+    """Holds the router's identities, and establishes and checks verified connections.
+
+    `tick` must be called regularly: it reloads changed files and logs the state of the SVID. `clock` returns
+    Unix seconds. Raises InvalidIdentity if the files cannot be used at the start.
+    """
 
     def __init__(self, settings: IdentitySettings, clock: Callable[[], float] = unix_seconds) -> None:
-        """Raises InvalidIdentity where files cannot be used at the start."""
-        self.settings, self.clock, self.log_event = settings, clock, lines_of("identity")
+        self.settings = settings
+        self.clock = clock
+        self.log_event = lines_of("identity")
         self.store = IdentityStore(settings.trust_domain, settings.hint, settings.clock_skew)
         self.peers = PeerVerifier(
             self.store, read_entries(settings.server_template, settings.entries_file), settings.lifetime
         )
-        self.contexts: dict[bool, SSL.Context] = {}
-        self.contexts_generation = -1
+        self.contexts: dict[bool, SSL.Context] = {}  # for callers (True) and servers (False)
+        self.contexts_generation = -1  # store.generation for which the contexts were made
+        # Server id -> (session, chain that the server presented for it, store.generation at that time).
         self.sessions: dict[str, tuple[SSL.Session, Chain, int]] = {}
-        self.handshakes: Counter[str] = Counter()
+        self.handshakes: Counter[str] = Counter()  # with servers: "full" or "resumed"
         self.health = Health.NONE
-        self.said, self.said_at = 0, 0.0
+        self.peer_lines = 0  # log lines on peers, with suppressed ones, since `peer_lines_since`
+        self.peer_lines_since = 0.0  # monotonic seconds
         self.workload_api: WorkloadApiClient | None = None
         self.files_changed = FileChangeDetector(settings.files.paths if settings.files else [])
         self.entries_changed = FileChangeDetector([settings.entries_file] if settings.entries_file else [])
         if settings.files is not None and not settings.agent_address:
             self.store.apply(settings.files.load(), clock())
 
-    # ---- What changes
+    # ---- Updates
     def apply_agent_update(self, update: IdentityUpdate) -> bool:
-        """An update of the agent. A bad one is one line; what was good stays in force."""
+        """Applies an update of the Workload API.
+
+        Returns False if it is not valid: it is logged, and the previous identities stay in use.
+        """
         return self._apply(lambda: update, "agent")
 
     def _apply(self, load: Callable[[], IdentityUpdate], source: str) -> bool:
         try:
             change = self.store.apply(load(), self.clock())
-        except InvalidIdentity as problem:
-            self.log_event("rejected", source=source, why=str(problem), kept="what was good before")
+        except InvalidIdentity as error:
+            self.log_event("rejected", source=source, why=str(error), kept="what was good before")
             return False
         if change:
             own = self.store.svid
@@ -123,34 +142,34 @@
         return True
 
     def tick(self) -> None:
-        """Files that changed, and what time has done."""
+        """Reloads files that have changed, and logs a change of the SVID's health."""
         if self.settings.files is not None and not self.settings.agent_address and self.files_changed():
             self._apply(self.settings.files.load, "files")
         if self.entries_changed():
             try:
-                found: ExpectedIdentities = read_entries(
+                expected: ExpectedIdentities = read_entries(
                     self.settings.server_template, self.settings.entries_file
                 )
-                if self.peers.update_expected(found):
-                    count = len(found.entries) if found.entries is not None else 0
-                    self.log_event("reloaded", source="entries", boxes=count, revoked=len(found.revoked))
-            except InvalidIdentity as problem:
-                self.log_event("rejected", source="entries", why=str(problem), kept="those of before")
+                if self.peers.update_expected(expected):
+                    count = len(expected.entries) if expected.entries is not None else 0
+                    self.log_event("reloaded", source="entries", boxes=count, revoked=len(expected.revoked))
+            except InvalidIdentity as error:
+                self.log_event("rejected", source="entries", why=str(error), kept="the previous entries")
         health = self.store.health(self.clock())
         if health is not self.health:
             self.health = health
             self.log_event("health", state=health.value, seconds_left=round(self.seconds_left()))
 
     def seconds_left(self) -> float:
-        """Seconds for which the own SVID is still good."""
+        """Returns the seconds for which the router's SVID is still valid."""
         return self.store.seconds_left(self.clock())
 
     def is_ready(self) -> bool:
-        """Without an identity in force nobody can be asked."""
+        """Whether the router has a valid SVID; without one it cannot contact any server."""
         return self.store.health(self.clock()) in (Health.GOOD, Health.LATE)
 
     def _context(self, server: bool) -> SSL.Context:
-        """Raises PeerRefused where no own SVID is in force."""
+        """Returns the TLS context for the current SVID. Raises PeerRefused without a valid one."""
         own = self.store.current_svid(self.clock())
         if self.contexts_generation != self.store.generation:
             self.contexts.clear()
@@ -161,6 +180,10 @@
 
     # ---- Servers
     async def secure(self, uid: str, sock: socket.socket) -> Wire:
+        """Establishes TLS on a connection to the server `uid` and verifies the server.
+
+        Raises PeerNotVerified if the handshake or the verification fails.
+        """
         try:
             self.peers.expected_identity(uid, self.clock())
             context = self._context(server=False)
@@ -175,21 +198,23 @@
             if resumed:
                 assert session is not None
             chain = session[1] if resumed and session is not None else tls.peer_chain()
-            bond = self.peers.verify_server(uid, chain, self.clock())
+            peer = self.peers.verify_server(uid, chain, self.clock())
             self.handshakes["resumed" if resumed else "full"] += 1
-            return VerifiedServerStream(self, tls, bond)
-        except InvalidIdentity as problem:
+            return VerifiedServerStream(self, tls, peer)
+        except InvalidIdentity as error:
             self.peers.refused[RefusalCause.NO_SVID] += 1
-            raise self._refuse(f"server:{uid}", str(problem)) from problem
-        except PeerRefused as problem:
-            raise self._refuse(f"server:{uid}", str(problem)) from problem
-        except (OSError, TimeoutError) as problem:
+            raise self._refuse(f"server:{uid}", str(error)) from error
+        except PeerRefused as refusal:
+            raise self._refuse(f"server:{uid}", str(refusal)) from refusal
+        except (OSError, TimeoutError) as error:
             self.peers.refused[RefusalCause.HANDSHAKE] += 1
-            raise self._refuse(f"server:{uid}", f"handshake: {str(problem) or 'no answer'}") from problem
+            raise self._refuse(f"server:{uid}", f"handshake: {str(error) or 'timed out'}") from error
 
     def remember_session(self, peer: VerifiedPeer, tls: TlsStream) -> None:
-        """The session of a server that is trusted now. It is no trust in itself: who resumes it is judged by
-        the chain that came with it, as of then."""
+        """Keeps the TLS session of a verified server for resumption.
+
+        A resumed session proves no identity by itself: the chain kept with it is verified again at that time.
+        """
         session = tls.connection.get_session()
         if session is not None:
             self.sessions.pop(peer.uid, None)
@@ -198,60 +223,68 @@
                 del self.sessions[next(iter(self.sessions))]
 
     def peer_status(self, peer: VerifiedPeer) -> PeerStatus:
-        before = peer.status
-        now = self.peers.status(peer, self.clock())
-        if now is PeerStatus.CLOSING and before is not now and peer.cause is not None:
+        """Returns whether a peer's connection may be used. Logs it when the peer is no longer trusted."""
+        old_status = peer.status
+        status = self.peers.status(peer, self.clock())
+        if status is PeerStatus.CLOSING and old_status is not status and peer.cause is not None:
             name = f"server:{peer.uid}" if peer.uid else "caller"
-            self._line("untrusted", peer=name, id=str(peer.chain.id), cause=peer.cause.value)
-        return now
+            self._log_peer("untrusted", peer=name, id=str(peer.chain.id), cause=peer.cause.value)
+        return status
 
     # ---- Callers
     async def accept_caller(
         self, plain: SocketStream, callers: tuple[str, ...]
     ) -> tuple[TlsStream, VerifiedPeer]:
-        """Raises PeerNotVerified; the peer is told nothing but a TLS alert."""
+        """Establishes TLS on an accepted connection and verifies the caller.
+
+        Raises PeerNotVerified and closes the connection on failure; the caller gets at most a TLS alert.
+        """
         try:
             tls = TlsStream(plain, self._context(server=True), server=True)
             async with asyncio.timeout(CALLER_HANDSHAKE_TIMEOUT):
                 await tls.handshake()
             return tls, self.peers.verify_caller(tls.peer_chain(), callers, self.clock())
-        except (OSError, TimeoutError, InvalidIdentity, PeerRefused) as problem:
-            if not isinstance(problem, PeerRefused):
-                named = (
-                    RefusalCause.NO_SVID if isinstance(problem, InvalidIdentity) else RefusalCause.HANDSHAKE
-                )
-                self.peers.refused[named] += 1
+        except (OSError, TimeoutError, InvalidIdentity, PeerRefused) as error:
+            if not isinstance(error, PeerRefused):
+                cause = RefusalCause.NO_SVID if isinstance(error, InvalidIdentity) else RefusalCause.HANDSHAKE
+                self.peers.refused[cause] += 1
             plain.close()
-            raise self._refuse("caller", str(problem) or type(problem).__name__) from problem
+            raise self._refuse("caller", str(error) or type(error).__name__) from error
 
-    # ---- What staff see
+    # ---- Metrics and log
     def figures(self) -> list[Figure]:
-        held, now = self.store, self.clock()
+        """Returns the metrics of identities and verified connections."""
+        store, now = self.store, self.clock()
         rows: list[Figure] = [
-            ("identity_seconds_left", int(held.seconds_left(now)), "g"),
-            ("identity_rotations", held.rotations, "c"),
-            ("identity_updates_rejected", held.rejected, "c"),
-            ("identity_bundles", len(held.bundles), "g"),
+            ("identity_seconds_left", int(store.seconds_left(now)), "g"),
+            ("identity_rotations", store.rotations, "c"),
+            ("identity_updates_rejected", store.rejected, "c"),
+            ("identity_bundles", len(store.bundles), "g"),
             ("handshakes_full", self.handshakes["full"], "c"),
             ("handshakes_resumed", self.handshakes["resumed"], "c"),
         ]
         rows += [
-            (f"peers_refused.{c.value.replace(' ', '_')}", self.peers.refused[c], "c") for c in RefusalCause
+            (f"peers_refused.{cause.value.replace(' ', '_')}", self.peers.refused[cause], "c")
+            for cause in RefusalCause
+        ]
+        rows += [
+            (f"peers_ended.{cause.value.replace(' ', '_')}", count, "c")
+            for cause, count in self.peers.ended.items()
         ]
-        rows += [(f"peers_ended.{c.value.replace(' ', '_')}", n, "c") for c, n in self.peers.ended.items()]
         return rows
 
     def _refuse(self, peer: str, why: str) -> PeerNotVerified:
-        self._line("refused", peer=peer, why=why)
+        self._log_peer("refused", peer=peer, why=why)
         return PeerNotVerified(why)
 
-    def _line(self, event: str, **fields: object) -> None:
-        """Guards the log against peers that come again and again."""
+    def _log_peer(self, event: str, **fields: object) -> None:
+        """Logs an event on a peer. The rate is limited, since peers may connect again and again."""
         now = monotonic()
-        if now - self.said_at >= 1.0:
-            if self.said > MAX_LINES_PER_SECOND:
-                self.log_event("limited", more=self.said - MAX_LINES_PER_SECOND)
-            self.said, self.said_at = 0, now
-        self.said += 1
-        if self.said <= MAX_LINES_PER_SECOND:
+        if now - self.peer_lines_since >= 1.0:
+            if self.peer_lines > MAX_LINES_PER_SECOND:
+                self.log_event("limited", more=self.peer_lines - MAX_LINES_PER_SECOND)
+            self.peer_lines = 0
+            self.peer_lines_since = now
+        self.peer_lines += 1
+        if self.peer_lines <= MAX_LINES_PER_SECOND:
             self.log_event(event, **fields)
--- a/onyxpulley/spiffe/peers.py
+++ b/onyxpulley/spiffe/peers.py
@@ -1,7 +1,8 @@
-"""Whom this router expects where, whom it lets in, and what becomes of connections when that changes.
+"""Which identity a server must have, which callers are allowed, and whether open connections stay usable.
 
-No I/O, no clock. A `VerifiedPeer` is what the trust in one open connection rests on; it is verified again
-when any of that has changed, at the latest before the next request is written to the connection.
+No I/O, no clock. A `VerifiedPeer` is the result of verifying the peer of one open connection. It is verified
+again when the router's identities or the expected ones have changed, at the latest before the next request is
+written to the connection.
 """
 
 from __future__ import annotations
@@ -20,8 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedIdentities:
-    """Which identity a server has by its id: one named for it, else the template. `entries` None: any id fits
-    the template; else only those that stand there are expected at all."""
+    """The identities of servers by their ids.
+
+    A server in `by_server` has the identity given there, any other one that of the template. `entries` limits
+    the servers to those listed; None allows every id that fits the template. Raises InvalidIdentity if the
+    template is not a SPIFFE ID with one placeholder.
+    """
 
     template: str = ""
     by_server: Mapping[str, SpiffeId] = field(default_factory=dict)
@@ -31,10 +36,13 @@
     def __post_init__(self) -> None:
         if self.template:
             if self.template.count(ID_PLACEHOLDER) != 1:
-                raise InvalidIdentity(f"expect: {ID_PLACEHOLDER} stands in it once: {self.template[:80]!r}")
+                raise InvalidIdentity(
+                    f"expect: must contain {ID_PLACEHOLDER} exactly once: {self.template[:80]!r}"
+                )
             read_spiffe_id(self.template.replace(ID_PLACEHOLDER, "x"), "expect")
 
     def identity_of(self, uid: str) -> SpiffeId | None:
+        """Returns the identity that the server must have, or None if no server of that id is expected."""
         if self.entries is not None and uid not in self.entries:
             return None
         if uid in self.by_server:
@@ -43,65 +51,69 @@
             return None
         try:
             return read_spiffe_id(self.template.replace(ID_PLACEHOLDER, uid))
-        except InvalidIdentity:  # an id that no path can hold
+        except InvalidIdentity:  # the id is not valid in the path of a SPIFFE ID
             return None
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLifetime:
-    """Times in seconds, from the operator's file."""
+    """How long verified connections are used, in seconds."""
 
-    renew_after: float = 3600.0  # a connection that old takes nothing new
-    end_after: float = 3.0  # what runs on one whose peer is no longer trusted may end within
+    renew_after: float = 3600.0  # age from which a connection gets no new requests
+    end_after: float = 3.0  # time that running requests have left once the peer is no longer trusted
 
 
 class PeerStatus(Enum):
+    """Whether a connection to a verified peer may be used."""
+
     VALID = "valid"
-    RENEW = "renew"  # nothing new; what runs may end in its own time
-    CLOSING = "closing"  # nothing new; what runs has until `VerifiedPeer.ends`
+    RENEW = "renew"  # no new requests; running ones may finish
+    CLOSING = "closing"  # no new requests; running ones have until `VerifiedPeer.closes_at`
 
 
 @dataclass(eq=False, slots=True)
 class VerifiedPeer:
-    uid: str  # a server's; empty for a caller
-    callers: tuple[str, ...]  # who may call, where a caller is
+    """The verified peer of one open connection. Times are in seconds of the verifier's caller."""
+
+    uid: str  # id of the server; empty for a caller
+    callers: tuple[str, ...]  # the IDs that are allowed, for a caller
     chain: Chain
-    verified_at: float
-    generations: tuple[int, int]  # generations of identities and expectations when it was looked at last
+    verified_at: float  # when the connection was established
+    generations: tuple[int, int]  # PeerVerifier.generations at the last verification
     status: PeerStatus = PeerStatus.VALID
-    cause: RefusalCause | None = None
+    cause: RefusalCause | None = None  # why the status is CLOSING
     closes_at: float = float("inf")
 
 
 class PeerVerifier:
-    """The one place that says who may be spoken to."""
+    """Decides which peers the router communicates with."""
 
     def __init__(
         self, store: IdentityStore, expected: ExpectedIdentities, lifetime: ConnectionLifetime | None = None
     ) -> None:
-        self.store, self.expected_identities, self.lifetime = (
-            store,
-            expected,
-            lifetime or ConnectionLifetime(),
-        )
-        self.generation = 0  # of the mapping
-        self.refused: Counter[RefusalCause] = Counter()
-        self.ended: Counter[RefusalCause] = Counter()  # bonds that did not last
+        self.store = store
+        self.expected_identities = expected
+        self.lifetime = lifetime or ConnectionLifetime()
+        self.generation = 0  # counts the changes of the expected identities
+        self.refused: Counter[RefusalCause] = Counter()  # peers of new connections
+        self.ended: Counter[RefusalCause] = Counter()  # peers of open connections
 
     def update_expected(self, expected: ExpectedIdentities) -> bool:
-        """Another mapping from now on. True where it differs."""
+        """Replaces the expected identities. Returns whether they differ from the previous ones."""
         if expected == self.expected_identities:
             return False
-        self.expected_identities, self.generation = expected, self.generation + 1
+        self.expected_identities = expected
+        self.generation += 1
         return True
 
     @property
     def generations(self) -> tuple[int, int]:
+        """Counts the changes of the router's identities and of the expected ones."""
         return self.store.generation, self.generation
 
     # ---- New connections
     def expected_identity(self, uid: str, now: float) -> SpiffeId:
-        """Before a handshake: whom to expect. Raises PeerRefused."""
+        """Returns the identity that a server must show in the handshake. Raises PeerRefused."""
         try:
             self.store.current_svid(now)
             expected = self.expected_identities.identity_of(uid)
@@ -110,17 +122,17 @@
             if expected in self.expected_identities.revoked:
                 raise PeerRefused(RefusalCause.REVOKED, str(expected))
             return expected
-        except PeerRefused as problem:
-            self.refused[problem.cause] += 1
+        except PeerRefused as refusal:
+            self.refused[refusal.cause] += 1
             raise
 
     def verify_server(self, uid: str, chain: Chain, now: float) -> VerifiedPeer:
-        """After the handshake, before a byte of a request. Raises PeerRefused."""
+        """Verifies a server after the handshake, before the first byte of a request. Raises PeerRefused."""
         expected = self.expected_identity(uid, now)
         try:
             self._verify(chain, expected, now)
-        except PeerRefused as problem:
-            self.refused[problem.cause] += 1
+        except PeerRefused as refusal:
+            self.refused[refusal.cause] += 1
             raise
         return VerifiedPeer(uid, (), chain, now, self.generations)
 
@@ -131,7 +143,6 @@
         if expected is not None and chain.id != expected:
             raise PeerRefused(RefusalCause.OTHER_IDENTITY, f"{chain.id}, not {expected}")
 
-    # ---- Callers
     def verify_caller(self, chain: Chain, callers: tuple[str, ...], now: float) -> VerifiedPeer:
         """Verifies a caller after the handshake. `callers` holds exact IDs or prefixes that end in `/*`.
 
@@ -142,14 +153,17 @@
             self._verify(chain, None, now)
             if not is_allowed_caller(chain.id, callers):
                 raise PeerRefused(RefusalCause.NOT_LISTED, str(chain.id))
-        except PeerRefused as problem:
-            self.refused[problem.cause] += 1
+        except PeerRefused as refusal:
+            self.refused[refusal.cause] += 1
             raise
         return VerifiedPeer("", callers, chain, now, self.generations)
 
     # ---- Open connections
     def status(self, peer: VerifiedPeer, now: float) -> PeerStatus:
-        """As of now. What a bond rests on is looked at again when it changed; the rest is time."""
+        """Returns whether the connection of a peer may be used now, and updates the peer.
+
+        The chain is verified again only if identities have changed; otherwise just the time is checked.
+        """
         if peer.status is PeerStatus.CLOSING:
             return peer.status
         try:
@@ -158,13 +172,11 @@
             if now >= peer.chain.not_after:
                 raise PeerRefused(RefusalCause.EXPIRED, str(peer.chain.id))
             self.store.current_svid(now)
-        except PeerRefused as problem:
-            peer.status, peer.cause, peer.closes_at = (
-                PeerStatus.CLOSING,
-                problem.cause,
-                now + self.lifetime.end_after,
-            )
-            self.ended[problem.cause] += 1
+        except PeerRefused as refusal:
+            peer.status = PeerStatus.CLOSING
+            peer.cause = refusal.cause
+            peer.closes_at = now + self.lifetime.end_after
+            self.ended[refusal.cause] += 1
             return peer.status
         if now - peer.verified_at >= self.lifetime.renew_after:
             peer.status = PeerStatus.RENEW
@@ -183,15 +195,21 @@
 
 
 def is_allowed_caller(caller: SpiffeId, callers: tuple[str, ...]) -> bool:
+    """Whether `callers` contains the caller's ID or a prefix of it that ends in `/*`."""
     text = str(caller)
-    return any(text.startswith(a[:-1]) if a.endswith("/*") else text == a for a in callers)
+    return any(
+        text.startswith(allowed[:-1]) if allowed.endswith("/*") else text == allowed for allowed in callers
+    )
 
 
 def read_callers(rows: Iterable[str], label: str) -> tuple[str, ...]:
-    """Exact IDs, or a prefix that ends in `/*`: whole segments only."""
-    found = []
+    """Reads a list of exact SPIFFE IDs and of prefixes that end in `/*`, which match whole path segments.
+
+    `label` names the field in errors. Raises InvalidIdentity.
+    """
+    callers = []
     for text in rows:
         bare = text.removesuffix("/*")
         read_spiffe_id(bare, label, workload=bare == text or bare.count("/") > 2)
-        found.append(text)
-    return tuple(found)
+        callers.append(text)
+    return tuple(callers)
--- a/onyxpulley/spiffe/settings.py
+++ b/onyxpulley/spiffe/settings.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of identities."""
+"""The [identities] section of the operator's file."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentitySettings:
-    """What the operator's file says of identities."""
+    """How the router gets its own identity, and which identities it expects of servers and callers."""
 
     trust_domain: str
-    files: IdentityFiles | None
-    agent_address: str  # address of the Workload API; empty: the files
-    verify_servers: bool  # whether servers are spoken to under TLS only
-    server_template: str
-    entries_file: Path | None
+    files: IdentityFiles | None  # None where the Workload API is used
+    agent_address: str  # of the Workload API: `unix:/path` or `host:port`; empty where files are used
+    verify_servers: bool  # whether connections to servers use TLS
+    server_template: str  # SPIFFE ID of a server, with `{id}` for its id; may be empty
+    entries_file: Path | None  # lists the servers with their identities
     lifetime: ConnectionLifetime
-    callers: tuple[str, ...] | None  # of the signed front; None: it stays plain HTTP
-    hint: str = ""
-    clock_skew: float = 0.0
+    callers: tuple[str, ...] | None  # allowed on the signed front; None if it is plain HTTP
+    hint: str = ""  # selects one of the SVIDs that the Workload API returns
+    clock_skew: float = 0.0  # seconds by which issuers' clocks may be ahead
--- a/onyxpulley/spiffe/tls.py
+++ b/onyxpulley/spiffe/tls.py
@@ -1,4 +1,4 @@
-"""TLS over a plain stream, for both sides. Who the peer is, `Peers` judges by what it showed."""
+"""TLS on a plain stream, for clients and servers. The peer's identity is verified by `PeerVerifier`."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 from onyxpulley.spiffe.svids import Chain, Svid, read_chain
 from onyxpulley.streams import Data, SocketStream
 
-CHUNK = 16_384
+CHUNK = 16_384  # bytes; the most that one TLS record holds
 
 
 class TlsError(OSError):
-    """Anything that TLS itself has to complain of."""
+    """An error of TLS itself, in contrast to one of the connection below it."""
 
 
 def make_context(svid: Svid, server: bool) -> SSL.Context:
-    """Shows this SVID and takes any certificate for which the peer proves that it has the key. It is no check
-    of who that is: `Peers` does that before a byte of a request is written or read, with the bundle of the
-    peer's own trust domain, which OpenSSL's one store cannot tell from another's."""
+    """Returns a context that presents an SVID and accepts any certificate whose key the peer proves to have.
+
+    The context does not verify the peer's identity: `PeerVerifier` does so before a byte of a request is
+    written or read. It uses the bundle of the peer's own trust domain, which OpenSSL's single certificate
+    store could not keep apart from the bundles of others.
+    """
     context = SSL.Context(SSL.TLS_METHOD)
     context.set_min_proto_version(SSL.TLS1_2_VERSION)
     context.set_options(SSL.OP_NO_RENEGOTIATION | SSL.OP_NO_COMPRESSION)
@@ -31,7 +34,7 @@
         context.add_extra_chain_cert(cert)
     context.use_privatekey(svid.key)
     context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, _accept_certificate)
-    if server:  # a resumed session shows no certificate: callers show theirs each time
+    if server:  # callers must present their certificate each time, which they do not in a resumed session
         context.set_session_cache_mode(SSL.SESS_CACHE_OFF)
         context.set_options(SSL.OP_NO_TICKET)
     else:
@@ -40,7 +43,7 @@
 
 
 def _accept_certificate(connection: SSL.Connection, cert: object, error: int, depth: int, ok: int) -> bool:
-    """OpenSSL calls it in a full handshake, and not where a session is resumed."""
+    """Notes that a certificate was presented: OpenSSL calls this only in a full handshake."""
     connection.set_app_data(True)
     return True
 
@@ -56,33 +59,36 @@
             self.connection.set_accept_state()
         else:
             self.connection.set_connect_state()
-        self.room = memoryview(bytearray(CHUNK))
+        self.room = memoryview(bytearray(CHUNK))  # for encrypted bytes
         self.sending = asyncio.Lock()
 
     @property
     def late_since(self) -> int:
+        """That of the plain stream."""
         return self.plain.late_since
 
     def out_of_touch(self) -> bool:
+        """That of the plain stream."""
         return self.plain.out_of_touch()
 
     async def handshake(self) -> None:
-        """Raises OSError; a TimeoutError is the caller's."""
+        """Completes the handshake, without a timeout. Raises OSError."""
         await self._step(self.connection.do_handshake)
 
     def is_full_handshake(self) -> bool:
-        """The peer showed its certificate on this very connection."""
+        """Whether the peer presented its certificate, and no earlier session was resumed."""
         return bool(self.connection.get_app_data())
 
     def peer_chain(self) -> Chain:
-        """Raises InvalidIdentity."""
+        """Returns the certificates that the peer presented. Raises InvalidIdentity."""
         certs: list[x509.Certificate] = self.connection.get_peer_cert_chain(as_cryptography=True) or []
         leaf = self.connection.get_peer_certificate(as_cryptography=True)
         if leaf is None:
             raise InvalidIdentity("SVID: no certificate")
-        return read_chain([leaf, *(c for c in certs if c != leaf)])
+        return read_chain([leaf, *(cert for cert in certs if cert != leaf)])
 
     async def _flush(self) -> None:
+        """Sends the encrypted bytes that OpenSSL has ready."""
         async with self.sending:
             while True:
                 try:
@@ -91,15 +97,17 @@
                     return
                 await self.plain.send_all(data)
 
-    async def _more(self) -> bool:
-        got = await self.plain.receive_into(self.room)
-        if got:
-            self.connection.bio_write(bytes(self.room[:got]))
+    async def _feed(self) -> bool:
+        """Passes encrypted bytes from the plain stream to OpenSSL. Returns False at the end of the stream."""
+        received = await self.plain.receive_into(self.room)
+        if received:
+            self.connection.bio_write(bytes(self.room[:received]))
         else:
             self.connection.bio_shutdown()
-        return bool(got)
+        return bool(received)
 
     async def _step(self, step: Callable[[], object]) -> None:
+        """Repeats a call of OpenSSL until it needs no more bytes of the peer."""
         while True:
             try:
                 step()
@@ -107,57 +115,66 @@
                 return
             except SSL.WantReadError:
                 await self._flush()
-                if not await self._more():
-                    raise ConnectionResetError("ended in the handshake") from None
-            except SSL.Error as problem:
-                await self._flush()  # the alert that tells the peer
-                raise TlsError(error_text(problem)) from None
+                if not await self._feed():
+                    raise ConnectionResetError("connection closed during the handshake") from None
+            except SSL.Error as error:
+                await self._flush()  # sends the alert
+                raise TlsError(error_text(error)) from None
 
     async def receive_into(self, room: memoryview) -> int:
+        """Reads decrypted bytes into `room`. Returns their number, or 0 at the end of the stream."""
         while True:
             try:
                 return self.connection.recv_into(room, len(room))
             except SSL.WantReadError:
                 await self._flush()
-                if not await self._more():
+                if not await self._feed():
                     return 0
             except SSL.ZeroReturnError:
                 return 0
-            except SSL.Error as problem:
-                raise TlsError(error_text(problem)) from None
+            except SSL.Error as error:
+                raise TlsError(error_text(error)) from None
 
     def send_now(self, data: Data) -> int:
-        """Encrypts a first part where the socket has room; `send_all` sees to it that it leaves."""
+        """Encrypts the first part of `data` if the socket can be written to, and returns its length.
+
+        The encrypted bytes leave with the next call of `send_all`.
+        """
         if self.sending.locked() or self.plain.would_block():
             return 0
         try:
             return self.connection.send(memoryview(data)[:CHUNK])
-        except SSL.Error as problem:
-            raise TlsError(error_text(problem)) from None
+        except SSL.Error as error:
+            raise TlsError(error_text(error)) from None
 
     async def writable(self) -> None:
+        """Waits until the socket can be written to."""
         async with self.sending:
             await self.plain.writable()
 
     async def send_all(self, data: Data) -> None:
+        """Encrypts and sends `data`, after what `send_now` has encrypted."""
         await self._flush()
         view = memoryview(data)
         while view:
             try:
                 view = view[self.connection.send(view[:CHUNK]) :]
-            except SSL.Error as problem:
-                raise TlsError(error_text(problem)) from None
+            except SSL.Error as error:
+                raise TlsError(error_text(error)) from None
             await self._flush()
 
     def close(self) -> None:
-        """Guards the session: OpenSSL takes it for spoilt where a connection just stops."""
+        """Closes the connection.
+
+        Marks the TLS session as shut down: OpenSSL would not resume a session whose connection just ended.
+        """
         self.connection.set_shutdown(SSL.SENT_SHUTDOWN | SSL.RECEIVED_SHUTDOWN)
         self.plain.close()
 
 
-def error_text(problem: SSL.Error) -> str:
-    """OpenSSL's words, which name no keys."""
-    if isinstance(problem, SSL.SysCallError):
+def error_text(error: SSL.Error) -> str:
+    """Returns OpenSSL's description of an error, which contains no keys."""
+    if isinstance(error, SSL.SysCallError):
         return "connection ended"
-    rows = problem.args[0] if problem.args and isinstance(problem.args[0], list) else []
-    return str(rows[-1][2]) if rows else type(problem).__name__
+    rows = error.args[0] if error.args and isinstance(error.args[0], list) else []
+    return str(rows[-1][2]) if rows else type(error).__name__
--- a/onyxpulley/spiffe/workload.py
+++ b/onyxpulley/spiffe/workload.py
@@ -1,4 +1,4 @@
-"""The SPIFFE Workload API: X.509-SVIDs and bundles, as a stream that is called again when it breaks."""
+"""Client of the SPIFFE Workload API: X.509-SVIDs and bundles from a stream that is reopened when it ends."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-os.environ.setdefault("GRPC_VERBOSITY", "ERROR")  # its own lines tell nothing that the stream does not
+os.environ.setdefault("GRPC_VERBOSITY", "ERROR")  # the errors of the stream are logged here
 import grpc  # noqa: E402
 from cryptography.hazmat.primitives import serialization
 from google.protobuf import descriptor_pb2, descriptor_pool, message, message_factory
@@ -27,125 +27,132 @@
 )
 
 FETCH_METHOD = "/SpiffeWorkloadAPI/FetchX509SVID"
-SECURITY_HEADER = (
-    ("workload.spiffe.io", "true"),
-)  # without it an agent must refuse: no web page can send it
-MAX_MESSAGE_BYTES = 4_000_000  # bytes of one message
+# The agent must refuse calls without this header, which protects it from server-side request forgery.
+SECURITY_HEADER = (("workload.spiffe.io", "true"),)
+MAX_MESSAGE_BYTES = 4_000_000
+KEEPALIVE_MS = 30_000
 FIELD = descriptor_pb2.FieldDescriptorProto
 
 
-def _messages() -> tuple[type[message.Message], type[message.Message]]:
-    """Request and response by the field numbers of the Workload API."""
+def _message_types() -> tuple[type[message.Message], type[message.Message]]:
+    """Returns the types of request and response, with the field numbers of the Workload API."""
     file = descriptor_pb2.FileDescriptorProto(name="onyxpulley_workload.proto", syntax="proto3")
     svid = file.message_type.add(name="X509SVID")
     response = file.message_type.add(name="X509SVIDResponse")
     file.message_type.add(name="X509SVIDRequest")
-    texts = {"spiffe_id": 1, "hint": 5}
+    string_fields = {"spiffe_id": 1, "hint": 5}
     for name, number in {"spiffe_id": 1, "x509_svid": 2, "x509_svid_key": 3, "bundle": 4, "hint": 5}.items():
-        kind = FIELD.TYPE_STRING if name in texts else FIELD.TYPE_BYTES
-        svid.field.add(name=name, number=number, type=kind, label=FIELD.LABEL_OPTIONAL)
+        field_type = FIELD.TYPE_STRING if name in string_fields else FIELD.TYPE_BYTES
+        svid.field.add(name=name, number=number, type=field_type, label=FIELD.LABEL_OPTIONAL)
     entry = response.nested_type.add(name="FederatedBundlesEntry")
     entry.options.map_entry = True
     entry.field.add(name="key", number=1, type=FIELD.TYPE_STRING, label=FIELD.LABEL_OPTIONAL)
     entry.field.add(name="value", number=2, type=FIELD.TYPE_BYTES, label=FIELD.LABEL_OPTIONAL)
-    many, nested = FIELD.LABEL_REPEATED, FIELD.TYPE_MESSAGE
-    response.field.add(name="svids", number=1, type=nested, label=many, type_name="X509SVID")
-    response.field.add(name="crl", number=2, type=FIELD.TYPE_BYTES, label=many)
+    repeated, nested = FIELD.LABEL_REPEATED, FIELD.TYPE_MESSAGE
+    response.field.add(name="svids", number=1, type=nested, label=repeated, type_name="X509SVID")
+    response.field.add(name="crl", number=2, type=FIELD.TYPE_BYTES, label=repeated)
     response.field.add(
-        name="federated_bundles", number=3, type=nested, label=many,
+        name="federated_bundles", number=3, type=nested, label=repeated,
         type_name="X509SVIDResponse.FederatedBundlesEntry",
     )  # fmt: skip
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
-    get = message_factory.GetMessageClass
+    get_class = message_factory.GetMessageClass
     return (
-        get(pool.FindMessageTypeByName("X509SVIDRequest")),
-        get(pool.FindMessageTypeByName("X509SVIDResponse")),
+        get_class(pool.FindMessageTypeByName("X509SVIDRequest")),
+        get_class(pool.FindMessageTypeByName("X509SVIDResponse")),
     )
 
 
-X509SvidRequest, X509SvidResponse = _messages()
+X509SvidRequest, X509SvidResponse = _message_types()
 
 
 def parse_response(data: bytes) -> Any:
+    """Decodes an X509SVIDResponse. Raises InvalidIdentity."""
     try:
         return X509SvidResponse.FromString(data)
-    except message.DecodeError as problem:
-        raise InvalidIdentity("message: cannot be read") from problem
+    except message.DecodeError as error:
+        raise InvalidIdentity("message: cannot be read") from error
 
 
 def read_response(response: Any) -> IdentityUpdate:
-    """Raises InvalidIdentity, which names the field."""
+    """Returns the SVIDs and bundles of an X509SVIDResponse.
+
+    Raises InvalidIdentity, with the name of the field, if any of them is not valid.
+    """
     svids: list[Svid] = []
     bundles: dict[str, Bundle] = {}
-    for no, row in enumerate(response.svids, 1):
-        label = f"svids[{no}]"
-        chain = read_chain(read_der_certificates(row.x509_svid, f"{label}.x509_svid"), f"{label}.x509_svid")
-        if read_spiffe_id(row.spiffe_id, f"{label}.spiffe_id") != chain.id:
-            raise InvalidIdentity(f"{label}.spiffe_id: not that of its certificate")
+    for number, entry in enumerate(response.svids, 1):
+        label = f"svids[{number}]"
+        chain = read_chain(read_der_certificates(entry.x509_svid, f"{label}.x509_svid"), f"{label}.x509_svid")
+        if read_spiffe_id(entry.spiffe_id, f"{label}.spiffe_id") != chain.id:
+            raise InvalidIdentity(f"{label}.spiffe_id: does not match its certificate")
         try:
-            key = serialization.load_der_private_key(row.x509_svid_key, None)
-        except (ValueError, TypeError) as problem:
-            raise InvalidIdentity(f"{label}.x509_svid_key: no private key") from problem
-        svids.append(read_svid(chain, key, f"{label}.x509_svid_key", row.hint))
-        roots = read_der_certificates(row.bundle, f"{label}.bundle")
-        bundles[chain.id.trust_domain] = read_bundle(chain.id.trust_domain, roots, f"{label}.bundle")
+            key = serialization.load_der_private_key(entry.x509_svid_key, None)
+        except (ValueError, TypeError) as error:
+            raise InvalidIdentity(f"{label}.x509_svid_key: not a private key") from error
+        svids.append(read_svid(chain, key, f"{label}.x509_svid_key", entry.hint))
+        authorities = read_der_certificates(entry.bundle, f"{label}.bundle")
+        bundles[chain.id.trust_domain] = read_bundle(chain.id.trust_domain, authorities, f"{label}.bundle")
     for name, der in response.federated_bundles.items():
-        domain = read_trust_domain(name, "federated_bundles")
-        if domain not in bundles:  # the own one comes with the SVID
-            bundles[domain] = read_bundle(
-                domain, read_der_certificates(der, "federated_bundles"), "federated_bundles"
+        trust_domain = read_trust_domain(name, "federated_bundles")
+        if trust_domain not in bundles:  # the bundles of the SVIDs' own trust domains take precedence
+            bundles[trust_domain] = read_bundle(
+                trust_domain, read_der_certificates(der, "federated_bundles"), "federated_bundles"
             )
-    return IdentityUpdate(tuple(svids), {name: with_crls(b, response.crl) for name, b in bundles.items()})
+    return IdentityUpdate(
+        tuple(svids), {name: with_crls(bundle, response.crl) for name, bundle in bundles.items()}
+    )
 
 
 class WorkloadApiClient:
-    """Follows the agent at one address for as long as the program runs."""
+    """Receives identities from the agent at one address.
+
+    `address` is `unix:/path`, or `host:port` on this machine. `apply_update` returns whether an update was
+    valid; `seconds_left` returns how long the current SVID stays valid.
+    """
 
     def __init__(
         self,
-        address: str,  # `unix:/path`, or `host:port` on this machine
+        address: str,
         backoff: Backoff,
-        apply_update: Callable[[IdentityUpdate], bool],  # False: it was of no use
-        seconds_left: Callable[[], float],  # seconds for which what is held lasts
+        apply_update: Callable[[IdentityUpdate], bool],
+        seconds_left: Callable[[], float],
         log_event: Say,
     ) -> None:
-        self.address, self.backoff, self.apply_update, self.seconds_left, self.log_event = (
-            address,
-            backoff,
-            apply_update,
-            seconds_left,
-            log_event,
-        )
-        self.connected = False
+        self.address = address
+        self.backoff = backoff
+        self.apply_update = apply_update
+        self.seconds_left = seconds_left
+        self.log_event = log_event
+        self.connected = False  # the current stream has brought a valid update
         self.disconnects = 0
 
     async def follow(self) -> None:
-        """Runs until cancelled."""
+        """Keeps a stream open until cancelled. Failed calls are logged and repeated with a back-off."""
         while True:
             try:
-                await self._stream()
+                await self._receive_updates()
                 why = "the stream ended"
-            except grpc.aio.AioRpcError as problem:
-                why = f"{problem.code().name}: {(problem.details() or '')[:120]}"
-            except InvalidIdentity as problem:
-                why = f"message refused: {problem}"
-            except Exception as problem:  # the library's own: what is held goes on
-                why = f"{type(problem).__name__}: {problem}"[:160]
+            except grpc.aio.AioRpcError as error:
+                why = f"{error.code().name}: {(error.details() or '')[:120]}"
+            except InvalidIdentity as error:
+                why = f"message refused: {error}"
+            except Exception as error:  # an error within gRPC must not end the task; the SVID stays in use
+                why = f"{type(error).__name__}: {error}"[:160]
             self.connected = False
             self.disconnects += 1
-            wait = self.backoff.next_delay(self.seconds_left())
-            if (
-                self.backoff.failures <= 3 or self.backoff.failures % 16 == 0
-            ):  # not a line for each try of a long night
-                self.log_event("agent", why=why, again_in=round(wait, 1), failures=self.backoff.failures)
-            await asyncio.sleep(wait)
-
-    async def _stream(self) -> None:
+            delay = self.backoff.next_delay(self.seconds_left())
+            # During a long outage only every 16th failure is logged.
+            if self.backoff.failures <= 3 or self.backoff.failures % 16 == 0:
+                self.log_event("agent", why=why, again_in=round(delay, 1), failures=self.backoff.failures)
+            await asyncio.sleep(delay)
+
+    async def _receive_updates(self) -> None:
         options: Iterable[tuple[str, Any]] = (
             ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
             ("grpc.enable_http_proxy", 0),
-            ("grpc.keepalive_time_ms", 30_000),
+            ("grpc.keepalive_time_ms", KEEPALIVE_MS),
         )
         async with grpc.aio.insecure_channel(self.address, options=tuple(options)) as channel:
             call = channel.unary_stream(
--- a/tests/issuer.py
+++ b/tests/issuer.py
@@ -1,4 +1,4 @@
-"""A stand-in issuer: trust domains, their SVIDs with any fault, and the agent that hands them out."""
+"""A stand-in SPIFFE issuer: authorities, SVIDs with any fault, and a fake of the Workload API."""
 
 from __future__ import annotations
 
@@ -22,19 +22,25 @@
 
 
 def time_from_now(seconds: float) -> datetime.datetime:
+    """Returns a time in whole seconds, as certificates hold it."""
     return datetime.datetime.now(datetime.UTC).replace(microsecond=0) + datetime.timedelta(seconds=seconds)
 
 
 class Authority:
-    """A trust domain's authority. Times are seconds from now."""
+    """A certificate authority of the trust domain `name`, signed by `parent` or by itself.
+
+    `uri` replaces the URI name of its certificate; "" leaves it out. Times are seconds from now. Keyword
+    arguments called `faults` are passed on to `sign`.
+    """
 
     def __init__(
         self, name: str = "letra.example", parent: Authority | None = None, uri: str | None = None
     ) -> None:
-        self.name, self.parent = name, parent
+        self.name = name
+        self.parent = parent
         self.key = ec.generate_private_key(ec.SECP256R1())
-        named = [f"spiffe://{name}"] if uri is None else [uri] if uri else []
-        self.root = self.sign(self.key, named, ca=True)
+        uris = [f"spiffe://{name}"] if uri is None else [uri] if uri else []
+        self.root = self.sign(self.key, uris, ca=True)
 
     def sign(
         self,
@@ -46,11 +52,12 @@
         usage: bool = True,
         constraints: bool = True,
     ) -> x509.Certificate:
+        """Returns a certificate for a key; `usage` and `constraints` tell whether it has these extensions."""
         signer = self.parent if ca else self
         name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, f"{self.name} {id(self)}")])
         issuer = signer.root.subject if signer is not None else name
         subject = name if ca else x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "workload")])
-        build = (
+        builder = (
             x509.CertificateBuilder()
             .subject_name(subject)
             .issuer_name(issuer)
@@ -60,48 +67,54 @@
             .not_valid_after(time_from_now(until))
         )
         if constraints:
-            build = build.add_extension(x509.BasicConstraints(ca, None), True)
+            builder = builder.add_extension(x509.BasicConstraints(ca, None), True)
         if usage:
             flags = [not ca, False, False, False, False, ca, ca, False, False]
-            build = build.add_extension(x509.KeyUsage(*flags), True)
+            builder = builder.add_extension(x509.KeyUsage(*flags), True)
         if uris:
-            names = x509.SubjectAlternativeName([x509.UniformResourceIdentifier(u) for u in uris])
-            build = build.add_extension(names, False)
-        return build.sign(signer.key if signer is not None else key, hashes.SHA256())
+            names = x509.SubjectAlternativeName([x509.UniformResourceIdentifier(uri) for uri in uris])
+            builder = builder.add_extension(names, False)
+        return builder.sign(signer.key if signer is not None else key, hashes.SHA256())
 
     def issue(self, *uris: str, **faults: Any) -> tuple[list[x509.Certificate], Key]:
+        """Returns a leaf with its intermediates, and its key."""
         key = ec.generate_private_key(ec.SECP256R1())
-        between = [self.root] if self.parent is not None else []
-        return [self.sign(key, uris, **faults), *between], key
+        intermediates = [self.root] if self.parent is not None else []
+        return [self.sign(key, uris, **faults), *intermediates], key
 
     def chain(self, path: str, **faults: Any) -> Chain:
+        """Returns the chain of an SVID for a path in the trust domain."""
         return read_chain(self.issue(f"spiffe://{self.name}{path}", **faults)[0])
 
     def svid(self, path: str, **faults: Any) -> Svid:
+        """Returns an SVID for a path in the trust domain."""
         certs, key = self.issue(f"spiffe://{self.name}{path}", **faults)
         return read_svid(read_chain(certs), key)
 
     def bundle(self) -> Bundle:
+        """Returns the trust bundle with this authority alone."""
         return read_bundle(self.name, [self.root])
 
     def crl(self, *certs: x509.Certificate) -> bytes:
-        build = x509.CertificateRevocationListBuilder().issuer_name(self.root.subject)
-        build = build.last_update(time_from_now(-60)).next_update(time_from_now(3600))
+        """Returns a DER revocation list with the given certificates."""
+        builder = x509.CertificateRevocationListBuilder().issuer_name(self.root.subject)
+        builder = builder.last_update(time_from_now(-60)).next_update(time_from_now(3600))
         for cert in certs:
-            row = x509.RevokedCertificateBuilder().serial_number(cert.serial_number)
-            build = build.add_revoked_certificate(row.revocation_date(time_from_now(-1)).build())
-        return build.sign(self.key, hashes.SHA256()).public_bytes(DER)
+            revoked = x509.RevokedCertificateBuilder().serial_number(cert.serial_number)
+            builder = builder.add_revoked_certificate(revoked.revocation_date(time_from_now(-1)).build())
+        return builder.sign(self.key, hashes.SHA256()).public_bytes(DER)
 
     # ---- Files
     def write_bundle(self, path: Path) -> None:
+        """Writes the trust bundle in PEM."""
         path.write_bytes(self.root.public_bytes(PEM))
 
     def write_svid(self, folder: Path, file: str, *uris: str, **faults: Any) -> Path:
-        """`file`.key and `file`.pem, each put in place whole."""
+        """Writes a new SVID to `file`.key and `file`.pem, each replaced atomically. Returns the latter."""
         certs, key = self.issue(*uris, **faults)
         for name, data in (
             (f"{file}.key", key.private_bytes(PEM, PKCS8, PLAIN)),
-            (f"{file}.pem", b"".join(c.public_bytes(PEM) for c in certs)),
+            (f"{file}.pem", b"".join(cert.public_bytes(PEM) for cert in certs)),
         ):
             (folder / f"{name}.new").write_bytes(data)
             (folder / f"{name}.new").rename(folder / name)
@@ -111,59 +124,70 @@
 def make_response(
     svids: Sequence[tuple[str, list[x509.Certificate], Any]], bundle: bytes, **more: Any
 ) -> Any:
-    """A message of the Workload API."""
+    """Returns a message of the Workload API. `svids`: SPIFFE ID, certificates and key of each."""
     message = workload.X509SvidResponse(**more)
     for name, certs, key in svids:
-        row = message.svids.add()
-        row.spiffe_id, row.bundle = name, bundle
-        row.x509_svid = b"".join(c.public_bytes(DER) for c in certs)
-        row.x509_svid_key = key.private_bytes(DER, PKCS8, PLAIN)
+        entry = message.svids.add()
+        entry.spiffe_id = name
+        entry.bundle = bundle
+        entry.x509_svid = b"".join(cert.public_bytes(DER) for cert in certs)
+        entry.x509_svid_key = key.private_bytes(DER, PKCS8, PLAIN)
     return message
 
 
 def make_svid_response(
-    domain: Authority, path: str = "/router", crls: Sequence[bytes] = (), **faults: Any
+    authority: Authority, path: str = "/router", crls: Sequence[bytes] = (), **faults: Any
 ) -> Any:
-    name = f"spiffe://{domain.name}{path}"
-    certs, key = domain.issue(name, **faults)
-    authority = domain.parent or domain
-    return make_response([(name, certs, key)], authority.root.public_bytes(DER), crl=list(crls))
+    """Returns a message of the Workload API with one new SVID."""
+    name = f"spiffe://{authority.name}{path}"
+    certs, key = authority.issue(name, **faults)
+    root_authority = authority.parent or authority
+    return make_response([(name, certs, key)], root_authority.root.public_bytes(DER), crl=list(crls))
 
 
 class FakeWorkloadApi(grpc.GenericRpcHandler):  # type: ignore[misc]
-    """The Workload API on loopback. `tell` sends to whoever listens, and first thing to whoever comes."""
+    """A Workload API on loopback that sends the latest published message to each new subscriber."""
 
     def __init__(self) -> None:
-        self.call_count, self.headers, self.port = 0, list[tuple[str, str]](), 0
+        self.call_count = 0
+        self.headers = list[tuple[str, str]]()  # of the last call
+        self.port = 0  # chosen at the first start, then kept
         self.latest: Any = None
         self.subscribers: set[asyncio.Queue[Any]] = set()
         self.server: Any = None
 
     async def start(self) -> None:
+        """Starts to listen."""
         self.server = grpc.aio.server()
         self.server.add_generic_rpc_handlers((self,))
         self.port = self.server.add_insecure_port(f"127.0.0.1:{self.port}")
         await self.server.start()
 
     async def stop(self) -> None:
+        """Stops at once; open streams are broken off."""
         await self.server.stop(0)
 
     def publish(self, message: Any) -> None:
+        """Sends a message, or bytes that are none, to all present and later subscribers."""
         self.latest = message
         for queue in self.subscribers:
             queue.put_nowait(message)
 
     def break_streams(self) -> None:
+        """Ends all open streams with an error."""
         for queue in self.subscribers:
             queue.put_nowait(None)
 
     def service(self, details: Any) -> Any:
+        """Finds the handler of a call, for gRPC."""
         if details.method != workload.FETCH_METHOD:
             return None
         return grpc.unary_stream_rpc_method_handler(
             self._stream,
             request_deserializer=workload.X509SvidRequest.FromString,
-            response_serializer=lambda m: m if isinstance(m, bytes) else m.SerializeToString(),
+            response_serializer=lambda message: (
+                message if isinstance(message, bytes) else message.SerializeToString()
+            ),
         )
 
     async def _stream(self, request: Any, context: Any) -> AsyncIterator[Any]:
--- a/tests/test_identities.py
+++ b/tests/test_identities.py
@@ -1,4 +1,4 @@
-"""The program among verified boxes: a stand-in issuer, boxes under TLS, and what can go wrong there."""
+"""Tests of the program with servers and callers that are verified by their SVIDs, over sockets."""
 
 from __future__ import annotations
 
@@ -19,8 +19,7 @@
 from .issuer import Authority, FakeWorkloadApi, make_response, make_svid_response
 from .player import PATIENCE, SETTINGS, Play, free_port, read_cases
 
-FOLDER = Path(__file__).parent / "exchanges"
-CASES = read_cases(FOLDER / "identities.txt")
+CASES = read_cases(Path(__file__).parent / "exchanges" / "identities.txt")
 OPERATOR = """
 [identities]
 trust_domain = "letra.example"
@@ -32,98 +31,123 @@
 renew_after_s = {renew}
 end_after_s = 0.1
 """
+FAULT_OPTIONS = ("until", "since", "usage")
 
 
-FAULT = ("until", "since", "usage")
+class VerifiedPlay(Play):
+    """Plays an exchange whose servers present SVIDs and whose router uses a fake Workload API.
 
+    Additional steps:
 
-class Guarded(Play):
-    """A play whose servers show SVIDs. More steps: `ID shows PATH [FAULT=SECONDS …] [by next|stray|between]`,
-    `ID also NAME` (a second name of that address), `entries ID …` (with `- SPIFFE_ID` revoked), `agent tells
-    [FAULT=SECONDS …] [of both|next] [without ID]`, `agent stops|starts|cuts|babbles`, `soon log has TEXT`."""
+    - `ID shows PATH [FAULT=SECONDS …] [by next|stray|between]`: the server's SVID is replaced; `~` stands for
+      an empty path and `-` for no URI name, and a comma separates several names.
+    - `ID also NAME`: the server has a second id.
+    - `entries ID … [- SPIFFE_ID …]`: the list of servers is replaced, with the IDs behind the hyphen revoked.
+    - `agent tells [FAULT=SECONDS …] [of both|next]`: the agent sends a new SVID.
+    - `agent stops|starts|cuts|babbles|empties`: the agent goes away, comes back, ends its streams, sends a
+      message that is cut off, or an empty one.
+    - `ID turned away`: the caller's connection is refused.
+    - `soon log has TEXT`: waits until the log contains TEXT.
+    """
 
     def __init__(self, folder: Path, renew: float = 600.0) -> None:
         super().__init__(folder)
-        self.home, self.next, self.stray = Authority(), Authority(), Authority()
-        self.between = Authority(parent=self.home)
-        self.agent, self.renew = FakeWorkloadApi(), renew
-        self.contexts: dict[str, ssl.SSLContext] = {}
-        self.more = ""
+        # The exchanges use the names of these attributes.
+        self.home = Authority()
+        self.next = Authority()  # the successor of `home`
+        self.stray = Authority()  # in no bundle
+        self.between = Authority(parent=self.home)  # an intermediate
+        self.agent = FakeWorkloadApi()
+        self.renew = renew  # seconds, renew_after_s of the operator's file
+        self.contexts: dict[str, ssl.SSLContext] = {}  # of the servers
+        self.more_config = ""  # of the operator's file
 
     def guard(self, name: str) -> ssl.SSLContext | None:
+        """Returns the TLS context of a server; the bulletin has none."""
         if name == "b":
             return None
         context = self.contexts[name] = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.verify_mode = ssl.CERT_REQUIRED
-        for domain in (self.home, self.next):
-            domain.write_bundle(self.folder / "ca.pem")
+        for authority in (self.home, self.next):
+            authority.write_bundle(self.folder / "ca.pem")
             context.load_verify_locations(self.folder / "ca.pem")
         self.show(name, f"/box/{name}", self.home, {})
         return context
 
-    def show(self, name: str, path: str, domain: Authority, faults: dict[str, Any]) -> None:
+    def show(self, name: str, path: str, authority: Authority, faults: dict[str, Any]) -> None:
+        """Replaces the SVID of a server."""
         uris = [f"spiffe://letra.example{p}" for p in path.replace("~", "").split(",") if p != "-"]
-        file = domain.write_svid(self.folder, f"{name}-box", *uris, **faults)
+        file = authority.write_svid(self.folder, f"{name}-box", *uris, **faults)
         self.contexts[name].load_cert_chain(file, file.with_suffix(".key"))
 
     def caller(self, name: str) -> ssl.SSLContext:
+        """Returns the TLS context of a caller of the signed front."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        context.check_hostname, context.verify_mode = False, ssl.CERT_NONE  # it is the router that looks
-        who = {"h1": (self.home, "staff/ana"), "h2": (self.home, "guest"), "h3": (self.stray, "staff/ana")}
-        if name in who:
-            domain, path = who[name]
-            file = domain.write_svid(self.folder, name, f"spiffe://letra.example/{path}")
+        context.check_hostname = False
+        context.verify_mode = ssl.CERT_NONE  # only the verification by the router is tested
+        svids = {"h1": (self.home, "staff/ana"), "h2": (self.home, "guest"), "h3": (self.stray, "staff/ana")}
+        if name in svids:
+            authority, path = svids[name]
+            file = authority.write_svid(self.folder, name, f"spiffe://letra.example/{path}")
             context.load_cert_chain(file, file.with_suffix(".key"))
         return context
 
-    def entries(self, names: list[str]) -> None:
+    def write_entries(self, names: list[str]) -> None:
+        """Replaces the list of servers: their ids, and behind a hyphen the revoked SPIFFE IDs."""
         boxes, _, revoked = " ".join(names).partition(" - ")
-        text = "revoked = [" + ", ".join(f'"{r}"' for r in revoked.split()) + "]\n[boxes]\n"
+        text = "revoked = [" + ", ".join(f'"{spiffe_id}"' for spiffe_id in revoked.split()) + "]\n[boxes]\n"
         (self.folder / "boxes.new").write_text(text + "".join(f'{uid} = ""\n' for uid in boxes.split()))
         (self.folder / "boxes.new").rename(self.folder / "boxes.toml")
 
     async def start(self, servers: list[str]) -> None:
-        self.entries(servers)
+        """Starts the Workload API and the program, and waits until the program has an SVID."""
+        self.write_entries(servers)
         await self.agent.start()
         self.agent.publish(make_svid_response(self.home))
-        self.operator = self.more + OPERATOR.format(port=self.agent.port, renew=self.renew)
+        self.operator = self.more_config + OPERATOR.format(port=self.agent.port, renew=self.renew)
         await super().start(servers)
-        await self.soon("event=reloaded source=agent svid=spiffe://letra.example/router")
-        await self.soon("event=health state=good")
+        await self.wait_for_log("event=reloaded source=agent svid=spiffe://letra.example/router")
+        await self.wait_for_log("event=health state=good")
 
-    async def soon(self, text: str) -> None:
+    async def wait_for_log(self, text: str) -> None:
+        """Waits until the log contains a text."""
         async with asyncio.timeout(PATIENCE):
             while text not in self.log.read_text():
                 await asyncio.sleep(0.02)
 
-    async def listening(self) -> None:
+    async def wait_for_subscriber(self) -> None:
+        """Waits until the program has a stream from the Workload API."""
         async with asyncio.timeout(PATIENCE):
             while not self.agent.subscribers:
                 await asyncio.sleep(0.02)
 
     async def run(self, lines: list[str]) -> None:
+        """Plays an exchange and stops the Workload API."""
         try:
             await super().run(lines)
         finally:
             await self.agent.stop()
 
     async def step(self, line: str) -> None:
+        """Plays one line."""
         words = line.split()
-        known = [w.partition("=") for w in words if w.split("=")[0] in FAULT and "=" in w]
-        faults: dict[str, Any] = {name: float(value) for name, _, value in known}
+        options = [
+            word.partition("=") for word in words if word.split("=")[0] in FAULT_OPTIONS and "=" in word
+        ]
+        faults: dict[str, Any] = {name: float(value) for name, _, value in options}
         if line.startswith("soon log has "):
-            await self.soon(line.removeprefix("soon log has "))
+            await self.wait_for_log(line.removeprefix("soon log has "))
         elif line.endswith("turned away"):
             with pytest.raises((OSError, AssertionError)):
                 await self.send(words[0], "GET /health")
                 await self.expect(words[0], "200")
             self.parties.pop(words[0], None)
         elif words[0] == "entries":
-            self.entries(words[1:])
-            await self.soon("event=reloaded source=entries")
+            self.write_entries(words[1:])
+            await self.wait_for_log("event=reloaded source=entries")
         elif words[0] == "agent" and words[1] == "tells":
-            domain = self.next if words[-1] == "next" else self.home
-            message = make_svid_response(domain, **faults)
+            authority = self.next if words[-1] == "next" else self.home
+            message = make_svid_response(authority, **faults)
             if words[-1] == "both":
                 message.svids[0].bundle = (
                     make_svid_response(self.home).svids[0].bundle
@@ -144,7 +168,7 @@
                 case "cuts":
                     self.agent.break_streams()
                 case "babbles" | "empties" if not self.agent.subscribers:
-                    await self.listening()
+                    await self.wait_for_subscriber()
                     await self.step(line)
                 case "babbles":
                     self.agent.publish(make_svid_response(self.home).SerializeToString()[:-40])
@@ -153,8 +177,8 @@
                     self.agent.publish(make_response([], b""))
                     self.agent.latest = make_svid_response(self.home)
         elif len(words) > 1 and words[1] == "shows":
-            by = getattr(self, words[-1]) if words[-2] == "by" else self.home
-            self.show(words[0], words[2], by, faults)
+            authority = getattr(self, words[-1]) if words[-2] == "by" else self.home
+            self.show(words[0], words[2], authority, faults)
         elif len(words) > 1 and words[1] == "also":
             self.parties[words[2]] = self.parties[words[0]]
         else:
@@ -166,7 +190,7 @@
     renew = float(lines[0].partition("renew ")[2] or 600)
 
     async def play() -> None:
-        await Guarded(tmp_path, renew).run([lines[0].partition(" renew ")[0], *lines[1:]])
+        await VerifiedPlay(tmp_path, renew).run([lines[0].partition(" renew ")[0], *lines[1:]])
 
     asyncio.run(play())
 
@@ -175,7 +199,7 @@
 PAGE = "cls=page-file,item=7f3a9c21e0b4d655,chunk=0,limit={n}"
 TAKEN = f"p0 < fetch 9b1f03aa5c7e2d41 {PAGE},handle=wait-for 0\\r\\n"
 FAULTS = {
-    "another box": ("/box/c1", "other identity"),
+    "another server": ("/box/c1", "other identity"),
     "another authority": ("/box/c0 by stray", "untrusted"),
     "expired": ("/box/c0 until=-5", "expired"),
     "not yet valid": ("/box/c0 since=120", "not yet valid"),
@@ -187,9 +211,9 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_no_byte_of_a_request_reaches_a_box_that_is_not_the_one_expected(fault: str, tmp_path: Path) -> None:
-    """Whoever takes part must have read everything that it got: the box at c0 got nothing."""
-    shown, said = FAULTS[fault]
+def test_a_server_with_an_unexpected_identity_receives_no_data(fault: str, tmp_path: Path) -> None:
+    """A play fails if any party has unread bytes at the end: c0 received nothing."""
+    shown, message = FAULTS[fault]
     lines = [
         "servers c0 p0 o",
         f"c0 shows {shown}",
@@ -198,13 +222,13 @@
         "p0 > 9b1f03aa5c7e2d41 data version=aa 2\\r\\nok",
         "c1 < 1 good have=aa ok",
         "log has part=identity event=refused peer=server:c0 ",
-        f"log has {said}",
+        f"log has {message}",
         "log lacks PRIVATE",
     ]
-    asyncio.run(Guarded(tmp_path).run(lines))
+    asyncio.run(VerifiedPlay(tmp_path).run(lines))
 
 
-def test_a_job_at_a_box_that_loses_its_trust_runs_once_and_is_a_failure(tmp_path: Path) -> None:
+def test_a_job_at_a_server_that_is_no_longer_trusted_fails_and_is_not_repeated(tmp_path: Path) -> None:
     job = "cls=convert-job,item=7f3a9c21e0b4d655,chunk=0,limit={n} 4\\r\\nwork"
     lines = [
         "servers c0 p0 o",
@@ -215,15 +239,15 @@
         "wait 0.3",
         'log has event=untrusted peer=server:o id=spiffe://letra.example/box/o cause="not listed"',
     ]
-    asyncio.run(Guarded(tmp_path).run(lines))
+    asyncio.run(VerifiedPlay(tmp_path).run(lines))
 
 
-def test_sessions_are_resumed_and_judged_anew(tmp_path: Path) -> None:
-    """Every answered request's connection is closed by the box, so the next one resumes."""
+def test_tls_sessions_are_resumed_and_their_servers_verified_again(tmp_path: Path) -> None:
+    """The server closes the connection after each answer, so that the next one resumes the session."""
 
     async def play() -> None:
-        rig = Guarded(tmp_path)
-        await rig.run(
+        exchange = VerifiedPlay(tmp_path)
+        await exchange.run(
             [
                 "servers c0 p0 o",
                 *(
@@ -253,34 +277,35 @@
     class Stop(Exception):
         pass
 
-    async def step(self: Guarded, line: str) -> None:
+    async def step_with_metrics(self: VerifiedPlay, line: str) -> None:
         if line == "keep k1":
-            found = self.parties["k1"].got.decode()
+            metrics = self.parties["k1"].got.decode()
             self.parties["k1"].got = b""
-            assert "app.handshakes_full:1|c" in found and "app.handshakes_resumed:2|c" in found, found
-            assert "app.peers_refused.other_identity:0|c" in found
+            assert "app.handshakes_full:1|c" in metrics and "app.handshakes_resumed:2|c" in metrics, metrics
+            assert "app.peers_refused.other_identity:0|c" in metrics
             return
-        await plain(self, line)
+        await original_step(self, line)
 
-    plain = Guarded.step
-    patch = pytest.MonkeyPatch()
-    patch.setattr(Guarded, "step", step)
+    original_step = VerifiedPlay.step
+    monkeypatch = pytest.MonkeyPatch()
+    monkeypatch.setattr(VerifiedPlay, "step", step_with_metrics)
     try:
         asyncio.run(play())
     finally:
-        patch.undo()
+        monkeypatch.undo()
 
 
-def test_the_agent_gets_the_header_that_it_must_insist_on(tmp_path: Path) -> None:
-    rig = Guarded(tmp_path)
-    asyncio.run(rig.run(["servers c0 p0 o", "wait 0.1"]))
-    assert ("workload.spiffe.io", "true") in rig.agent.headers and rig.agent.call_count == 1
+def test_calls_of_the_workload_api_have_the_security_header(tmp_path: Path) -> None:
+    exchange = VerifiedPlay(tmp_path)
+    asyncio.run(exchange.run(["servers c0 p0 o", "wait 0.1"]))
+    assert ("workload.spiffe.io", "true") in exchange.agent.headers and exchange.agent.call_count == 1
 
 
-def test_callers_of_the_signed_front_show_who_they_are(tmp_path: Path) -> None:
-    """h1 is of the staff; h2 is not let in, h3 is signed by somebody else, h4 shows nothing at all."""
-    rig = Guarded(tmp_path)
-    rig.tls, rig.more = rig.caller, '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
+def test_callers_of_the_signed_front_are_verified(tmp_path: Path) -> None:
+    """h1 is allowed; h2 is not, h3 is of an unknown authority, and h4 has no certificate."""
+    exchange = VerifiedPlay(tmp_path)
+    exchange.tls = exchange.caller
+    exchange.more_config = '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
     lines = [
         "servers c0 p0 o",
         "h1 > GET /health",
@@ -294,26 +319,26 @@
         "h1 > GET /health",
         "h1 < 401 ; connect again",
     ]
-    asyncio.run(rig.run([*lines, "h1 end"]))
-    assert 'peer=caller why="not listed: spiffe://letra.example/guest"' in rig.log.read_text()
+    asyncio.run(exchange.run([*lines, "h1 end"]))
+    assert 'peer=caller why="not listed: spiffe://letra.example/guest"' in exchange.log.read_text()
 
 
 def test_nothing_is_lost_while_identities_rotate_under_load(tmp_path: Path) -> None:
-    """400 requests in flight while SVID, bundle and the boxes' certificates change five times over."""
-    rig = Guarded(tmp_path, renew=0.4)
+    """400 requests are answered while the SVID, the bundle and the servers' SVIDs change five times."""
+    exchange = VerifiedPlay(tmp_path, renew=0.4)
     answers: list[bytes] = []
 
-    async def load() -> None:
+    async def send_requests() -> None:
         for name in ("c0", "c1x", "p0", "o"):
-            rig.parties[name].auto = True
-        client = await rig.party("c1")
+            exchange.parties[name].auto = True
+        client = await exchange.party("c1")
         for no in range(1, 401):
-            row = f"txn={no:016x},limit=4000,item={no % 40:016x},part=0,group=1,ram=4"
-            await rig.send("c1", f"ASK {no} page-file {row}")
+            fields = f"txn={no:016x},limit=4000,item={no % 40:016x},part=0,group=1,ram=4"
+            await exchange.send("c1", f"ASK {no} page-file {fields}")
             if no % 80 == 0:
                 for name in ("c0", "c1x"):
-                    rig.show(name, f"/box/{name}", rig.home, {})
-                await rig.step("agent tells of both" if no % 160 else "agent tells")
+                    exchange.show(name, f"/box/{name}", exchange.home, {})
+                await exchange.step("agent tells of both" if no % 160 else "agent tells")
             await asyncio.sleep(0.005)
         async with asyncio.timeout(PATIENCE):
             while client.got.count(b"\r\ngood\r\n") < 400:
@@ -322,65 +347,67 @@
         client.got = b""
 
     async def play() -> None:
-        plain = rig.step
+        original_step = exchange.step
 
-        async def step(line: str) -> None:
-            await (load() if line == "load" else plain(line))
+        async def step_with_load(line: str) -> None:
+            await (send_requests() if line == "load" else original_step(line))
 
-        rig.step = step  # type: ignore[method-assign]
-        await rig.run(
+        exchange.step = step_with_load  # type: ignore[method-assign]
+        await exchange.run(
             ["servers c0 c1x p0 o", "load", "k1 > METRICS", "wait 0.3", "log lacks refused", "k1 forget"]
         )
 
     asyncio.run(play())
     assert answers[0].count(b"\r\ngood\r\n") == 400
-    assert rig.log.read_text().count("source=agent svid=spiffe:") == 6
-    assert rig.parties["c0"].connections > 2, "old connections were renewed"
+    assert exchange.log.read_text().count("source=agent svid=spiffe:") == 6
+    assert exchange.parties["c0"].connections > 2, "old connections were renewed"
 
 
 @pytest.mark.parametrize(("table", "module", "file"), [
     ('[records]\nfolder = "r"\n', "pyarrow", "requirements-incident.txt"),
     (OPERATOR.format(port=9, renew=9), "OpenSSL", "requirements-identities.txt"),
 ])  # fmt: skip
-def test_what_is_not_installed_is_one_clear_line(table: str, module: str, file: str, tmp_path: Path) -> None:
+def test_a_package_that_is_not_installed_is_reported_on_one_line(
+    table: str, module: str, file: str, tmp_path: Path
+) -> None:
     (tmp_path / "boxes.toml").write_text("[boxes]\n")
     (tmp_path / "operator.toml").write_text(table)
-    conf = {"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": SETTINGS}
-    (tmp_path / "config.json").write_text(json.dumps(conf))
+    config = {"listen": "127.0.0.1:9", "bulletin": "127.0.0.1:9", "settings": SETTINGS}
+    (tmp_path / "config.json").write_text(json.dumps(config))
     code = (
         f"import sys; sys.modules[{module!r}] = None; from onyxpulley.program import main; sys.exit(main())"
     )
     env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{free_port()}"}
     env["ONYXPULLEY_OPERATOR"] = str(tmp_path / "operator.toml")
     run = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, timeout=30)
-    (said,) = [line for line in run.stderr.splitlines() if line.startswith("onyxpulley: ")]
-    assert run.returncode == 2 and module in said and file in said and "Traceback" not in run.stderr
+    (message,) = [line for line in run.stderr.splitlines() if line.startswith("onyxpulley: ")]
+    assert run.returncode == 2 and module in message and file in message and "Traceback" not in run.stderr
 
 
 HEAD = '[identities]\ntrust_domain = "letra.example"\n'
-BOXES = HEAD + 'workload_api = "unix:/x"\n[identities.servers]\n'
+SERVERS = HEAD + 'workload_api = "unix:/x"\n[identities.servers]\n'
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('[identities]\ntrust_domain = "Letra"\nworkload_api = "unix:/x"', "identities.trust_domain"),
         (HEAD, "either workload_api, or"),
         (HEAD + 'workload_api = "unix:/x"\ncertificate = "a"', "either workload_api, or"),
         (HEAD + 'workload_api = "nowhere"', "identities.workload_api is not host:port"),
-        (HEAD + 'workload_api = "unix:/x"\nskew_s = -1', "skew_s is a number of seconds"),
+        (HEAD + 'workload_api = "unix:/x"\nskew_s = -1', "skew_s must be a number of seconds"),
         (HEAD + 'workload_api = "unix:/x"\ncallers = ["x"]', "identities.callers: not a SPIFFE ID"),
-        (BOXES + 'renew_after_s = 1', "expect, or entries"),
-        (BOXES + 'expect = "spiffe://x/y"', "{id} stands in it once"),
-        (BOXES + 'expect = "spiffe://x/{id}/../y"', "bad path segment"),
-        (BOXES + 'expect = "spiffe://x/{id}"\nend_after_s = 99',
-         "end_after_s is a number of seconds up to 60"),
+        (SERVERS + 'renew_after_s = 1', "expect, or entries"),
+        (SERVERS + 'expect = "spiffe://x/y"', "must contain {id} exactly once"),
+        (SERVERS + 'expect = "spiffe://x/{id}/../y"', "bad path segment"),
+        (SERVERS + 'expect = "spiffe://x/{id}"\nend_after_s = 99',
+         "end_after_s must be a number of seconds from 0 to 60"),
         (HEAD + 'workload_api = "unix:/x"\nspire = 1', "unknown key 'spire'"),
     ],
 )  # fmt: skip
-def test_a_bad_operators_file_names_the_field(text: str, said: str, tmp_path: Path) -> None:
+def test_an_error_in_the_operators_file_names_the_field(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    with pytest.raises(BadConfig) as problem:
+    with pytest.raises(BadConfig) as error:
         operator_config.load(path)
-    assert said in str(problem.value) and "\n" not in str(problem.value)
+    assert message in str(error.value) and "\n" not in str(error.value)
