--- a/onyxpulley/admin.py
+++ b/onyxpulley/admin.py
@@ -74,7 +74,7 @@
             return json_response(HTTPStatus.UNPROCESSABLE_ENTITY, {"error": str(error)})
         if request.method not in ("GET", "HEAD"):
             action = f"{request.method} {'/'.join(segments)[:200]!r}"
-            logs.say(f"admin: {caller}: {action}: {response.status.value}")
+            logs.info(f"admin: {caller}: {action}: {response.status.value}")
         return response
 
     def _route(self, request: HttpRequest, segments: list[str]) -> Response:
--- a/onyxpulley/http.py
+++ b/onyxpulley/http.py
@@ -15,7 +15,7 @@
 
 from onyxpulley import logs
 from onyxpulley.clock import now_us
-from onyxpulley.listeners import SILENT
+from onyxpulley.listeners import SILENT_CONNECTION_WEIGHT
 from onyxpulley.streams import Stream
 
 MAX_URL_LENGTH = 8_192
@@ -138,32 +138,32 @@
         request = self.request
         request.method = self.parser.get_method().decode("ascii")
         request.body = b"".join(self.parts)
-        request.received_at = self.stream.late_since or now_us()
-        request.out_of_touch = self.stream.out_of_touch
+        request.received_at = self.stream.delayed_since or now_us()
+        request.out_of_touch = self.stream.peer_may_have_left
         request.keep_alive = self.parser.should_keep_alive() and request.error_status is None
         self.pending.append(request)
         self.had_request = True
         self.awaiting_since = 0
         self.wake.set()
 
-    def spare(self) -> bool:
+    def all_answered(self) -> bool:
         """Whether no response is due, though part of a request may have arrived."""
         return not self.busy and not self.pending
 
     def is_idle(self) -> bool:
         """Whether no response is due and no request is being received."""
-        return self.spare() and not (self.received_data and self.awaiting_since)
+        return self.all_answered() and not (self.received_data and self.awaiting_since)
 
-    def still(self, now: int) -> int:
+    def eviction_age(self, now: int) -> int:
         """Returns the microseconds without activity, weighted up for a connection that never sent a byte."""
-        return (now - self.last_activity) * (1 if self.received_data else SILENT)
+        return (now - self.last_activity) * (1 if self.received_data else SILENT_CONNECTION_WEIGHT)
 
     def is_overdue(self) -> bool:
         """Whether the next whole request took too long. Bytes that trickle in do not extend the time."""
         now = now_us()
         if self.awaiting_since and now - self.awaiting_since > REQUEST_TIMEOUT * 1e6:
             return True
-        return self.spare() and now - self.last_activity > IDLE_TIMEOUT * 1e6
+        return self.all_answered() and now - self.last_activity > IDLE_TIMEOUT * 1e6
 
     # ---- One task reads, another one answers
     async def run(self) -> None:
@@ -235,7 +235,7 @@
         try:
             return await self.handler(request)
         except Exception as error:
-            logs.say(f"http: {type(error).__name__} while handling a request")
+            logs.info(f"http: {type(error).__name__} while handling a request")
             return Response(HTTPStatus.INTERNAL_SERVER_ERROR)
 
     def close(self) -> None:
--- a/onyxpulley/operator_config.py
+++ b/onyxpulley/operator_config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from onyxpulley.admin import ROLES
-from onyxpulley.config import BadConfig, address
+from onyxpulley.config import BadConfig, parse_address
 from onyxpulley.incident.keep import Keep
 from onyxpulley.spiffe.files import IdentityFiles
 from onyxpulley.spiffe.ids import InvalidIdentity, read_spiffe_id, read_trust_domain
@@ -92,10 +92,10 @@
         admin_roles[row["id"]] = row["role"]
     return OperatorConfig(
         tenants,
-        address(signed["listen"], "signed.listen") if signed else None,
+        parse_address(signed["listen"], "signed.listen") if signed else None,
         str(signed["public"]) if signed else "",
         frozenset(signed.get("signature_boxes", [])),
-        address(admin["listen"], "admin.listen") if admin else None,
+        parse_address(admin["listen"], "admin.listen") if admin else None,
         admin_roles,
         identities,
         _records(table.get("records"), folder),
@@ -136,7 +136,7 @@
         raise BadConfig(f"{label}: needs either workload_api, or certificate, key and bundle")
     if agent_address:
         if not agent_address.startswith("unix:"):
-            address(agent_address, f"{label}.workload_api")
+            parse_address(agent_address, f"{label}.workload_api")
         if "federated" in table:
             raise BadConfig(f"{label}: federated cannot be set with workload_api, which provides the bundles")
     else:
--- a/onyxpulley/signed_front.py
+++ b/onyxpulley/signed_front.py
@@ -25,7 +25,7 @@
 from onyxpulley.tenants import AccessDenied, Tenant, Tenants, split_signing_package
 
 if TYPE_CHECKING:
-    from onyxpulley.facade import Facade
+    from onyxpulley.decision_adapter import DecisionAdapter
     from onyxpulley.spiffe.manager import IdentityManager
     from onyxpulley.spiffe.peers import VerifiedPeer
 
@@ -43,7 +43,12 @@
     """
 
     def __init__(
-        self, public_url: str, tenants: Tenants, exchange: Exchange, facade: Facade, forward_tokens: bool
+        self,
+        public_url: str,
+        tenants: Tenants,
+        exchange: Exchange,
+        facade: DecisionAdapter,
+        forward_tokens: bool,
     ) -> None:
         self.public_url = public_url.rstrip("/")
         self.tenants = tenants
@@ -107,7 +112,7 @@
         if http_request.method not in self.allowed_methods(request.cls):
             allow = ", ".join(self.allowed_methods(request.cls))
             return json_response(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method", "ran": "no"}, Allow=allow)
-        is_single_use = bool(grant.jti) and not self.facade.safe(request.cls)
+        is_single_use = bool(grant.jti) and not self.facade.is_safe(request.cls)
         if is_single_use and grant.jti in tenant.usage.used_token_ids:
             return self.denied_response(AccessDenied("the token was used"), "unknown")
         quota_wait = tenant.admit(monotonic())
@@ -125,14 +130,14 @@
         def permitted() -> bool:
             """Verifies the token before each attempt: it may have expired, or its tenant have changed."""
             try:
-                return self.tenants.verify(tenant_name, token, url).tenant.owns(request.item)
+                return self.tenants.verify(tenant_name, token, url).tenant.owns(request.object_id)
             except AccessDenied:
                 return False
 
-        request.permitted = permitted
+        request.check_permission = permitted
         request.signature = token if self.forward_tokens else ""
         response = await self.process(request, tenant)
-        if is_single_use and response.status is not HTTPStatus.OK and not request.maybe_ran:
+        if is_single_use and response.status is not HTTPStatus.OK and not request.may_have_run:
             tenant.usage.used_token_ids.pop(
                 grant.jti, None
             )  # the work never ran: the token may be used again
@@ -140,7 +145,7 @@
 
     def allowed_methods(self, cls: str) -> tuple[str, ...]:
         """Returns the HTTP methods with which requests of a class are made."""
-        return ("GET",) if self.facade.safe(cls) else ("POST",)
+        return ("GET",) if self.facade.is_safe(cls) else ("POST",)
 
     def build_request(
         self, http_request: HttpRequest, resource: re.Match[str], query: str, tenant: Tenant
@@ -150,7 +155,7 @@
         Raises ValueError if the request is malformed, AccessDenied if the object is not one of the tenant.
         """
         _, cls, item, part = resource.groups()
-        if cls not in self.facade.classes:
+        if cls not in self.facade.class_names:
             raise ValueError("unknown class")
         if not tenant.owns(item):
             raise AccessDenied("the object is not this tenant's", "insufficient_scope")
@@ -165,21 +170,23 @@
             raise ValueError("bad kb")
         deadline_ms = self.facade.deadline_ms(cls)
         if "x-deadline-ms" in http_request.headers:
-            deadline_ms = min(deadline_ms, fields.number(http_request.headers["x-deadline-ms"], 1, 3_600_000))
+            deadline_ms = min(
+                deadline_ms, fields.parse_number(http_request.headers["x-deadline-ms"], 1, 3_600_000)
+            )
         etag = ETAG_HEADER.fullmatch(http_request.headers.get("if-none-match", ""))
         return Request(
             txn=secrets.token_hex(8),
             cls=cls,
-            item=item,
-            due=http_request.received_at + 1000 * deadline_ms,
+            object_id=item,
+            deadline=http_request.received_at + 1000 * deadline_ms,
             reply=_reply_not_set,
             part=int(part),
-            group=fields.number(parameters["group"], 0, 255),
+            group=fields.parse_number(parameters["group"], 0, 255),
             size_kb=size_kb,
             body=http_request.body,
-            have=etag[1] if etag else "",
+            client_tag=etag[1] if etag else "",
             tenant=tenant.name,
-            out_of_touch=http_request.out_of_touch,
+            client_may_have_left=http_request.out_of_touch,
         )
 
     async def process(self, request: Request, tenant: Tenant) -> Response:
@@ -194,10 +201,10 @@
         usage = tenant.usage
         usage.open_requests += 1
         try:
-            self.exchange.take(request)
+            self.exchange.submit(request)
             answer = await answered
         except asyncio.CancelledError:
-            self.exchange.left(request)
+            self.exchange.client_left(request)
             usage.count("left")
             raise
         finally:
@@ -211,19 +218,22 @@
         match answer.verdict:
             case Verdict.SERVED:
                 headers = {"ETag": f'"{answer.tag}"'} if answer.tag else {}
-                if answer.same:
+                if answer.not_modified:
                     return Response(HTTPStatus.NOT_MODIFIED, b"", headers)
                 return Response(
                     HTTPStatus.OK, answer.body, {"Content-Type": "application/octet-stream", **headers}
                 )
             case Verdict.REFUSED:
-                retry_after = str(max(1, math.ceil(answer.later / 1000)))
-                body = {"error": "refused", "ran": ran if not self.facade.safe(request.cls) else "harmless"}
+                retry_after = str(max(1, math.ceil(answer.retry_after_ms / 1000)))
+                body = {
+                    "error": "refused",
+                    "ran": ran if not self.facade.is_safe(request.cls) else "harmless",
+                }
                 return json_response(HTTPStatus.SERVICE_UNAVAILABLE, body, Retry_After=retry_after)
             case Verdict.EXPIRED:
                 return self.denied_response(AccessDenied("no longer valid"), ran)
             case Verdict.FAILED:
-                timed_out = now_us() >= request.due - DEADLINE_TOLERANCE_US
+                timed_out = now_us() >= request.deadline - DEADLINE_TOLERANCE_US
                 status = HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY
                 return json_response(status, {"error": "failed", "ran": ran})
 
--- a/onyxpulley/spiffe/manager.py
+++ b/onyxpulley/spiffe/manager.py
@@ -11,7 +11,8 @@
 from OpenSSL import SSL
 
 from onyxpulley.clock import monotonic, unix_seconds
-from onyxpulley.logs import lines_of
+from onyxpulley.logs import event_logger
+from onyxpulley.server_streams import ServerStream
 from onyxpulley.spiffe.files import FileChangeDetector, read_entries
 from onyxpulley.spiffe.ids import InvalidIdentity
 from onyxpulley.spiffe.peers import ExpectedIdentities, PeerStatus, PeerVerifier, VerifiedPeer
@@ -20,10 +21,9 @@
 from onyxpulley.spiffe.svids import Chain, PeerRefused, RefusalCause
 from onyxpulley.spiffe.tls import TlsStream, make_context
 from onyxpulley.streams import Data, SocketStream
-from onyxpulley.wires import Wire
 
 if TYPE_CHECKING:
-    from onyxpulley.console import Figure
+    from onyxpulley.console import Metric
     from onyxpulley.spiffe.workload import WorkloadApiClient
 
 SERVER_HANDSHAKE_TIMEOUT = 1.0  # seconds; enough for two round trips and the computations
@@ -46,13 +46,13 @@
         self.session_remembered = False
 
     @property
-    def late_since(self) -> int:
+    def delayed_since(self) -> int:
         """That of the TLS stream."""
-        return self.tls.late_since
+        return self.tls.delayed_since
 
-    def out_of_touch(self) -> bool:
+    def peer_may_have_left(self) -> bool:
         """That of the TLS stream."""
-        return self.tls.out_of_touch()
+        return self.tls.peer_may_have_left()
 
     async def receive_into(self, room: memoryview) -> int:
         """Reads decrypted bytes into `room`. Returns their number, or 0 at the end of the stream."""
@@ -66,9 +66,9 @@
         """Takes as many bytes as can be sent without waiting, and returns their number."""
         return self.tls.send_now(data)
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Waits until the socket can be written to."""
-        await self.tls.writable()
+        await self.tls.wait_writable()
 
     async def send_all(self, data: Data) -> None:
         """Sends all of `data`."""
@@ -78,11 +78,11 @@
         """Closes the connection."""
         self.tls.close()
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new requests may be sent."""
         return self.manager.peer_status(self.peer) is PeerStatus.VALID
 
-    def over(self) -> bool:
+    def expired(self) -> bool:
         """Whether the time of the running requests has ended, since the server is no longer trusted."""
         closing = self.manager.peer_status(self.peer) is PeerStatus.CLOSING
         return closing and self.manager.clock() >= self.peer.closes_at
@@ -98,7 +98,7 @@
     def __init__(self, settings: IdentitySettings, clock: Callable[[], float] = unix_seconds) -> None:
         self.settings = settings
         self.clock = clock
-        self.log_event = lines_of("identity")
+        self.log_event = event_logger("identity")
         self.store = IdentityStore(settings.trust_domain, settings.hint, settings.clock_skew)
         self.peers = PeerVerifier(
             self.store, read_entries(settings.server_template, settings.entries_file), settings.lifetime
@@ -179,7 +179,7 @@
         return self.contexts[server]
 
     # ---- Servers
-    async def secure(self, uid: str, sock: socket.socket) -> Wire:
+    async def secure(self, uid: str, sock: socket.socket) -> ServerStream:
         """Establishes TLS on a connection to the server `uid` and verifies the server.
 
         Raises PeerNotVerified if the handshake or the verification fails.
@@ -252,10 +252,10 @@
             raise self._refuse("caller", str(error) or type(error).__name__) from error
 
     # ---- Metrics and log
-    def figures(self) -> list[Figure]:
+    def figures(self) -> list[Metric]:
         """Returns the metrics of identities and verified connections."""
         store, now = self.store, self.clock()
-        rows: list[Figure] = [
+        rows: list[Metric] = [
             ("identity_seconds_left", int(store.seconds_left(now)), "g"),
             ("identity_rotations", store.rotations, "c"),
             ("identity_updates_rejected", store.rejected, "c"),
--- a/onyxpulley/spiffe/tls.py
+++ b/onyxpulley/spiffe/tls.py
@@ -63,13 +63,13 @@
         self.sending = asyncio.Lock()
 
     @property
-    def late_since(self) -> int:
+    def delayed_since(self) -> int:
         """That of the plain stream."""
-        return self.plain.late_since
+        return self.plain.delayed_since
 
-    def out_of_touch(self) -> bool:
+    def peer_may_have_left(self) -> bool:
         """That of the plain stream."""
-        return self.plain.out_of_touch()
+        return self.plain.peer_may_have_left()
 
     async def handshake(self) -> None:
         """Completes the handshake, without a timeout. Raises OSError."""
@@ -147,10 +147,10 @@
         except SSL.Error as error:
             raise TlsError(error_text(error)) from None
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Waits until the socket can be written to."""
         async with self.sending:
-            await self.plain.writable()
+            await self.plain.wait_writable()
 
     async def send_all(self, data: Data) -> None:
         """Encrypts and sends `data`, after what `send_now` has encrypted."""
--- a/onyxpulley/spiffe/workload.py
+++ b/onyxpulley/spiffe/workload.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives import serialization
 from google.protobuf import descriptor_pb2, descriptor_pool, message, message_factory
 
-from onyxpulley.logs import Say
+from onyxpulley.logs import EventLogger
 from onyxpulley.spiffe.backoff import Backoff
 from onyxpulley.spiffe.ids import InvalidIdentity, read_spiffe_id, read_trust_domain
 from onyxpulley.spiffe.store import IdentityUpdate
@@ -118,7 +118,7 @@
         backoff: Backoff,
         apply_update: Callable[[IdentityUpdate], bool],
         seconds_left: Callable[[], float],
-        log_event: Say,
+        log_event: EventLogger,
     ) -> None:
         self.address = address
         self.backoff = backoff
--- a/tests/test_identities.py
+++ b/tests/test_identities.py
@@ -17,7 +17,7 @@
 from onyxpulley.config import BadConfig
 
 from .issuer import Authority, FakeWorkloadApi, make_response, make_svid_response
-from .player import PATIENCE, SETTINGS, Play, free_port, read_cases
+from .player import SETTINGS, STEP_TIMEOUT_S, ExchangePlayer, free_port, read_cases
 
 CASES = read_cases(Path(__file__).parent / "exchanges" / "identities.txt")
 OPERATOR = """
@@ -34,7 +34,7 @@
 FAULT_OPTIONS = ("until", "since", "usage")
 
 
-class VerifiedPlay(Play):
+class VerifiedPlay(ExchangePlayer):
     """Plays an exchange whose servers present SVIDs and whose router uses a fake Workload API.
 
     Additional steps:
@@ -62,7 +62,7 @@
         self.contexts: dict[str, ssl.SSLContext] = {}  # of the servers
         self.more_config = ""  # of the operator's file
 
-    def guard(self, name: str) -> ssl.SSLContext | None:
+    def server_tls(self, name: str) -> ssl.SSLContext | None:
         """Returns the TLS context of a server; the bulletin has none."""
         if name == "b":
             return None
@@ -111,13 +111,13 @@
 
     async def wait_for_log(self, text: str) -> None:
         """Waits until the log contains a text."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while text not in self.log.read_text():
                 await asyncio.sleep(0.02)
 
     async def wait_for_subscriber(self) -> None:
         """Waits until the program has a stream from the Workload API."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while not self.agent.subscribers:
                 await asyncio.sleep(0.02)
 
@@ -155,7 +155,7 @@
                 )
             before = self.log.read_text().count("source=agent svid")
             self.agent.publish(message)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(STEP_TIMEOUT_S):
                 while self.log.read_text().count("source=agent svid") == before:
                     await asyncio.sleep(0.02)
         elif words[0] == "agent":
@@ -279,8 +279,8 @@
 
     async def step_with_metrics(self: VerifiedPlay, line: str) -> None:
         if line == "keep k1":
-            metrics = self.parties["k1"].got.decode()
-            self.parties["k1"].got = b""
+            metrics = self.parties["k1"].received.decode()
+            self.parties["k1"].received = b""
             assert "app.handshakes_full:1|c" in metrics and "app.handshakes_resumed:2|c" in metrics, metrics
             assert "app.peers_refused.other_identity:0|c" in metrics
             return
@@ -304,7 +304,7 @@
 def test_callers_of_the_signed_front_are_verified(tmp_path: Path) -> None:
     """h1 is allowed; h2 is not, h3 is of an unknown authority, and h4 has no certificate."""
     exchange = VerifiedPlay(tmp_path)
-    exchange.tls = exchange.caller
+    exchange.client_tls = exchange.caller
     exchange.more_config = '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
     lines = [
         "servers c0 p0 o",
@@ -330,7 +330,7 @@
 
     async def send_requests() -> None:
         for name in ("c0", "c1x", "p0", "o"):
-            exchange.parties[name].auto = True
+            exchange.parties[name].answers_by_itself = True
         client = await exchange.party("c1")
         for no in range(1, 401):
             fields = f"txn={no:016x},limit=4000,item={no % 40:016x},part=0,group=1,ram=4"
@@ -340,11 +340,11 @@
                     exchange.show(name, f"/box/{name}", exchange.home, {})
                 await exchange.step("agent tells of both" if no % 160 else "agent tells")
             await asyncio.sleep(0.005)
-        async with asyncio.timeout(PATIENCE):
-            while client.got.count(b"\r\ngood\r\n") < 400:
+        async with asyncio.timeout(STEP_TIMEOUT_S):
+            while client.received.count(b"\r\ngood\r\n") < 400:
                 await asyncio.sleep(0.02)
-        answers.append(client.got)
-        client.got = b""
+        answers.append(client.received)
+        client.received = b""
 
     async def play() -> None:
         original_step = exchange.step
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -23,7 +23,7 @@
 from onyxpulley.config import BadConfig
 
 from .issuer import Authority
-from .player import PATIENCE, Play, read_cases
+from .player import STEP_TIMEOUT_S, ExchangePlayer, read_cases
 
 EXCHANGES = Path(__file__).parent / "exchanges"
 PUBLIC = "https://lecciones.example"
@@ -77,7 +77,7 @@
     return found[1] if found[2] else ""
 
 
-class AdminPlay(Play):
+class AdminPlay(ExchangePlayer):
     """Plays an exchange whose callers of the administration API have SVIDs."""
 
     def __init__(self, folder: Path) -> None:
@@ -119,7 +119,7 @@
             for name in ("svid.key", "svid.pem"):
                 (self.folder / name).write_bytes((self.folder / f"next-{name}").read_bytes())
             (self.folder / "bundle.pem").write_bytes((self.folder / "next.pem").read_bytes())
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(STEP_TIMEOUT_S):
                 while "event=reloaded source=files" not in self.log.read_text():
                     await asyncio.sleep(0.05)
         elif line.endswith("turned away"):
@@ -169,7 +169,7 @@
 )
 def test_signed_front(lines: list[str], tmp_path: Path) -> None:
     async def play() -> None:
-        await Play(tmp_path, fill, operator_file()).run(lines)
+        await ExchangePlayer(tmp_path, fill, operator_file()).run(lines)
 
     asyncio.run(play())
 
