--- a/onyxpulley/http.py
+++ b/onyxpulley/http.py
@@ -40,7 +40,8 @@
     received_at: int = 0  # monotonic microseconds at which the last byte arrived
     keep_alive: bool = True
     error_status: HTTPStatus | None = None  # why the request is answered without being handled
-    out_of_touch: Callable[[], bool] | None = None  # whether the client may have disconnected unnoticed
+    # Whether reads have failed for so long that the client may have left unnoticed.
+    client_may_have_left: Callable[[], bool] | None = None
 
 
 @dataclass(slots=True)
@@ -139,7 +140,7 @@
         request.method = self.parser.get_method().decode("ascii")
         request.body = b"".join(self.parts)
         request.received_at = self.stream.delayed_since or now_us()
-        request.out_of_touch = self.stream.peer_may_have_left
+        request.client_may_have_left = self.stream.peer_may_have_left
         request.keep_alive = self.parser.should_keep_alive() and request.error_status is None
         self.pending.append(request)
         self.had_request = True
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -246,7 +246,7 @@
             ("ejected", avoided, "g"),
             ("sighup_applied", self.reloads["applied"], "c"),
             ("sighup_rejected", self.reloads["rejected"], "c"),
-            *(self.keeper.figures() if self.keeper is not None else ()),
+            *(self.keeper.metrics() if self.keeper is not None else ()),
         ]
 
     def _retreat(self) -> None:
--- a/onyxpulley/signed_front.py
+++ b/onyxpulley/signed_front.py
@@ -47,13 +47,13 @@
         public_url: str,
         tenants: Tenants,
         exchange: Exchange,
-        facade: DecisionAdapter,
+        decisions: DecisionAdapter,
         forward_tokens: bool,
     ) -> None:
         self.public_url = public_url.rstrip("/")
         self.tenants = tenants
         self.exchange = exchange
-        self.facade = facade
+        self.decisions = decisions
         self.forward_tokens = forward_tokens
         # Whether new work is accepted. Evaluated for each health check, so that a drain shows at once.
         self.is_ready: Callable[[], bool] = lambda: True
@@ -112,7 +112,7 @@
         if http_request.method not in self.allowed_methods(request.cls):
             allow = ", ".join(self.allowed_methods(request.cls))
             return json_response(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method", "ran": "no"}, Allow=allow)
-        is_single_use = bool(grant.jti) and not self.facade.is_safe(request.cls)
+        is_single_use = bool(grant.jti) and not self.decisions.is_safe(request.cls)
         if is_single_use and grant.jti in tenant.usage.used_token_ids:
             return self.denied_response(AccessDenied("the token was used"), "unknown")
         quota_wait = tenant.admit(monotonic())
@@ -138,26 +138,25 @@
         request.signature = token if self.forward_tokens else ""
         response = await self.process(request, tenant)
         if is_single_use and response.status is not HTTPStatus.OK and not request.may_have_run:
-            tenant.usage.used_token_ids.pop(
-                grant.jti, None
-            )  # the work never ran: the token may be used again
+            # The work never ran, so the token may be used again.
+            tenant.usage.used_token_ids.pop(grant.jti, None)
         return response
 
     def allowed_methods(self, cls: str) -> tuple[str, ...]:
         """Returns the HTTP methods with which requests of a class are made."""
-        return ("GET",) if self.facade.is_safe(cls) else ("POST",)
+        return ("GET",) if self.decisions.is_safe(cls) else ("POST",)
 
     def build_request(
         self, http_request: HttpRequest, resource: re.Match[str], query: str, tenant: Tenant
     ) -> Request:
         """Translates an HTTP request, whose path matched as `resource`, into a request of the core.
 
-        Raises ValueError if the request is malformed, AccessDenied if the object is not one of the tenant.
+        Raises ValueError if the request is malformed, AccessDenied if the object is not the tenant's.
         """
-        _, cls, item, part = resource.groups()
-        if cls not in self.facade.class_names:
+        _, cls, object_id, part = resource.groups()
+        if cls not in self.decisions.class_names:
             raise ValueError("unknown class")
-        if not tenant.owns(item):
+        if not tenant.owns(object_id):
             raise AccessDenied("the object is not this tenant's", "insufficient_scope")
         pairs = parse_qsl(query, keep_blank_values=True, strict_parsing=True) if query else []
         parameters = dict(pairs)
@@ -168,7 +167,7 @@
         size_kb = float(parameters.get("kb", "0"))
         if not 0 <= size_kb < 1e9:
             raise ValueError("bad kb")
-        deadline_ms = self.facade.deadline_ms(cls)
+        deadline_ms = self.decisions.deadline_ms(cls)
         if "x-deadline-ms" in http_request.headers:
             deadline_ms = min(
                 deadline_ms, fields.parse_number(http_request.headers["x-deadline-ms"], 1, 3_600_000)
@@ -177,7 +176,7 @@
         return Request(
             txn=secrets.token_hex(8),
             cls=cls,
-            object_id=item,
+            object_id=object_id,
             deadline=http_request.received_at + 1000 * deadline_ms,
             reply=_reply_not_set,
             part=int(part),
@@ -186,7 +185,7 @@
             body=http_request.body,
             client_tag=etag[1] if etag else "",
             tenant=tenant.name,
-            client_may_have_left=http_request.out_of_touch,
+            client_may_have_left=http_request.client_may_have_left,
         )
 
     async def process(self, request: Request, tenant: Tenant) -> Response:
@@ -227,7 +226,7 @@
                 retry_after = str(max(1, math.ceil(answer.retry_after_ms / 1000)))
                 body = {
                     "error": "refused",
-                    "ran": ran if not self.facade.is_safe(request.cls) else "harmless",
+                    "ran": ran if not self.decisions.is_safe(request.cls) else "harmless",
                 }
                 return json_response(HTTPStatus.SERVICE_UNAVAILABLE, body, Retry_After=retry_after)
             case Verdict.EXPIRED:
--- a/onyxpulley/spiffe/manager.py
+++ b/onyxpulley/spiffe/manager.py
@@ -252,7 +252,7 @@
             raise self._refuse("caller", str(error) or type(error).__name__) from error
 
     # ---- Metrics and log
-    def figures(self) -> list[Metric]:
+    def metrics(self) -> list[Metric]:
         """Returns the metrics of identities and verified connections."""
         store, now = self.store, self.clock()
         rows: list[Metric] = [
--- a/onyxpulley/tenants.py
+++ b/onyxpulley/tenants.py
@@ -153,9 +153,9 @@
     keys: dict[str, Key] = field(default_factory=dict)  # by kid
     usage: Usage = field(default_factory=Usage)
 
-    def owns(self, item: str) -> bool:
+    def owns(self, object_id: str) -> bool:
         """Whether an object is one of the tenant's."""
-        return item.startswith(self.prefixes)
+        return object_id.startswith(self.prefixes)
 
     def admit(self, now: float) -> float:
         """Takes one request from the quota, a token bucket that holds one second's worth of requests.
--- a/tests/test_identities.py
+++ b/tests/test_identities.py
@@ -34,7 +34,7 @@
 FAULT_OPTIONS = ("until", "since", "usage")
 
 
-class VerifiedPlay(ExchangePlayer):
+class VerifiedExchangePlayer(ExchangePlayer):
     """Plays an exchange whose servers present SVIDs and whose router uses a fake Workload API.
 
     Additional steps:
@@ -190,7 +190,7 @@
     renew = float(lines[0].partition("renew ")[2] or 600)
 
     async def play() -> None:
-        await VerifiedPlay(tmp_path, renew).run([lines[0].partition(" renew ")[0], *lines[1:]])
+        await VerifiedExchangePlayer(tmp_path, renew).run([lines[0].partition(" renew ")[0], *lines[1:]])
 
     asyncio.run(play())
 
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_server_with_an_unexpected_identity_receives_no_data(fault: str, tmp_path: Path) -> None:
-    """A play fails if any party has unread bytes at the end: c0 received nothing."""
+    """An exchange fails if any party has unread bytes at the end, so c0 has received nothing."""
     shown, message = FAULTS[fault]
     lines = [
         "servers c0 p0 o",
@@ -225,7 +225,7 @@
         f"log has {message}",
         "log lacks PRIVATE",
     ]
-    asyncio.run(VerifiedPlay(tmp_path).run(lines))
+    asyncio.run(VerifiedExchangePlayer(tmp_path).run(lines))
 
 
 def test_a_job_at_a_server_that_is_no_longer_trusted_fails_and_is_not_repeated(tmp_path: Path) -> None:
@@ -239,15 +239,15 @@
         "wait 0.3",
         'log has event=untrusted peer=server:o id=spiffe://letra.example/box/o cause="not listed"',
     ]
-    asyncio.run(VerifiedPlay(tmp_path).run(lines))
+    asyncio.run(VerifiedExchangePlayer(tmp_path).run(lines))
 
 
 def test_tls_sessions_are_resumed_and_their_servers_verified_again(tmp_path: Path) -> None:
     """The server closes the connection after each answer, so that the next one resumes the session."""
 
     async def play() -> None:
-        exchange = VerifiedPlay(tmp_path)
-        await exchange.run(
+        player = VerifiedExchangePlayer(tmp_path)
+        await player.run(
             [
                 "servers c0 p0 o",
                 *(
@@ -277,7 +277,7 @@
     class Stop(Exception):
         pass
 
-    async def step_with_metrics(self: VerifiedPlay, line: str) -> None:
+    async def step_with_metrics(self: VerifiedExchangePlayer, line: str) -> None:
         if line == "keep k1":
             metrics = self.parties["k1"].received.decode()
             self.parties["k1"].received = b""
@@ -286,9 +286,9 @@
             return
         await original_step(self, line)
 
-    original_step = VerifiedPlay.step
+    original_step = VerifiedExchangePlayer.step
     monkeypatch = pytest.MonkeyPatch()
-    monkeypatch.setattr(VerifiedPlay, "step", step_with_metrics)
+    monkeypatch.setattr(VerifiedExchangePlayer, "step", step_with_metrics)
     try:
         asyncio.run(play())
     finally:
@@ -296,16 +296,16 @@
 
 
 def test_calls_of_the_workload_api_have_the_security_header(tmp_path: Path) -> None:
-    exchange = VerifiedPlay(tmp_path)
-    asyncio.run(exchange.run(["servers c0 p0 o", "wait 0.1"]))
-    assert ("workload.spiffe.io", "true") in exchange.agent.headers and exchange.agent.call_count == 1
+    player = VerifiedExchangePlayer(tmp_path)
+    asyncio.run(player.run(["servers c0 p0 o", "wait 0.1"]))
+    assert ("workload.spiffe.io", "true") in player.agent.headers and player.agent.call_count == 1
 
 
 def test_callers_of_the_signed_front_are_verified(tmp_path: Path) -> None:
     """h1 is allowed; h2 is not, h3 is of an unknown authority, and h4 has no certificate."""
-    exchange = VerifiedPlay(tmp_path)
-    exchange.client_tls = exchange.caller
-    exchange.more_config = '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
+    player = VerifiedExchangePlayer(tmp_path)
+    player.client_tls = player.caller
+    player.more_config = '[signed]\nlisten = "127.0.0.1:HTTP"\npublic = "https://x"\n'
     lines = [
         "servers c0 p0 o",
         "h1 > GET /health",
@@ -319,26 +319,26 @@
         "h1 > GET /health",
         "h1 < 401 ; connect again",
     ]
-    asyncio.run(exchange.run([*lines, "h1 end"]))
-    assert 'peer=caller why="not listed: spiffe://letra.example/guest"' in exchange.log.read_text()
+    asyncio.run(player.run([*lines, "h1 end"]))
+    assert 'peer=caller why="not listed: spiffe://letra.example/guest"' in player.log.read_text()
 
 
 def test_nothing_is_lost_while_identities_rotate_under_load(tmp_path: Path) -> None:
     """400 requests are answered while the SVID, the bundle and the servers' SVIDs change five times."""
-    exchange = VerifiedPlay(tmp_path, renew=0.4)
+    player = VerifiedExchangePlayer(tmp_path, renew=0.4)
     answers: list[bytes] = []
 
     async def send_requests() -> None:
         for name in ("c0", "c1x", "p0", "o"):
-            exchange.parties[name].answers_by_itself = True
-        client = await exchange.party("c1")
+            player.parties[name].answers_by_itself = True
+        client = await player.party("c1")
         for no in range(1, 401):
             fields = f"txn={no:016x},limit=4000,item={no % 40:016x},part=0,group=1,ram=4"
-            await exchange.send("c1", f"ASK {no} page-file {fields}")
+            await player.send("c1", f"ASK {no} page-file {fields}")
             if no % 80 == 0:
                 for name in ("c0", "c1x"):
-                    exchange.show(name, f"/box/{name}", exchange.home, {})
-                await exchange.step("agent tells of both" if no % 160 else "agent tells")
+                    player.show(name, f"/box/{name}", player.home, {})
+                await player.step("agent tells of both" if no % 160 else "agent tells")
             await asyncio.sleep(0.005)
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while client.received.count(b"\r\ngood\r\n") < 400:
@@ -347,20 +347,20 @@
         client.received = b""
 
     async def play() -> None:
-        original_step = exchange.step
+        original_step = player.step
 
         async def step_with_load(line: str) -> None:
             await (send_requests() if line == "load" else original_step(line))
 
-        exchange.step = step_with_load  # type: ignore[method-assign]
-        await exchange.run(
+        player.step = step_with_load  # type: ignore[method-assign]
+        await player.run(
             ["servers c0 c1x p0 o", "load", "k1 > METRICS", "wait 0.3", "log lacks refused", "k1 forget"]
         )
 
     asyncio.run(play())
     assert answers[0].count(b"\r\ngood\r\n") == 400
-    assert exchange.log.read_text().count("source=agent svid=spiffe:") == 6
-    assert exchange.parties["c0"].connections > 2, "old connections were renewed"
+    assert player.log.read_text().count("source=agent svid=spiffe:") == 6
+    assert player.parties["c0"].connections > 2, "old connections were renewed"
 
 
 @pytest.mark.parametrize(("table", "module", "file"), [
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -77,7 +77,7 @@
     return found[1] if found[2] else ""
 
 
-class AdminPlay(ExchangePlayer):
+class AdminExchangePlayer(ExchangePlayer):
     """Plays an exchange whose callers of the administration API have SVIDs."""
 
     def __init__(self, folder: Path) -> None:
@@ -211,6 +211,6 @@
 )
 def test_admin_api(lines: list[str], tmp_path: Path) -> None:
     async def play() -> None:
-        await AdminPlay(tmp_path).run(lines)
+        await AdminExchangePlayer(tmp_path).run(lines)
 
     asyncio.run(play())
