--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -270,7 +270,7 @@
             ("ejected", avoided, "g"),
             ("sighup_applied", self.reload_counts["applied"], "c"),
             ("sighup_rejected", self.reload_counts["rejected"], "c"),
-            *(self.identity_manager.figures() if self.identity_manager is not None else ()),
+            *(self.identity_manager.metrics() if self.identity_manager is not None else ()),
         ]
 
     def _advance_drain(self) -> None:
