--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -176,6 +176,13 @@
     checker.finish()
 
 
+def test_a_retry_that_only_takes_a_held_copy_counts_as_an_attempt() -> None:
+    checker = RuleChecker(SETTINGS[3], entries(4, 2, True))
+    checker.step(0, 0, 0, 0)  # a request, of which one attempt is allowed
+    checker.step(2, 0, 6, 0)  # that attempt ends, and the source refused its fill
+    checker.finish()
+
+
 def test_without_servers_a_request_is_refused_at_once() -> None:
     harness = RouterHarness(rows=())
     name, actions = harness.request()
