--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -17,8 +17,8 @@
 from onyxpulley.clock import now_us
 from onyxpulley.copy_store import CopyStore
 from onyxpulley.core import Answer, Attempt, AttemptResult, Command, Exchange, Outcome, Request, Send
-from onyxpulley.incident.keep import Keep
 from onyxpulley.incident.recorder import Recorder
+from onyxpulley.incident.settings import RecordSettings
 
 SERVERS = 40
 
@@ -80,7 +80,7 @@
     carrier = Carrier()
     exchange = Exchange(Decider(), carrier, Bounds(), CopyStore(0))
     if recorder is not None:
-        exchange.observer = recorder.tally
+        exchange.observer = recorder.collector
     serial, used = 0, 0.0
     for _ in range(seconds):
         at = time.process_time()
@@ -90,7 +90,7 @@
             exchange.submit(Request(f"{serial:016x}", cls, "7f3a9c21e0b4d655", now_us() + 10**7, answered))
             exchange.finish(carrier.sent.pop(), AttemptResult(Outcome.SERVED, load=(serial % 9, 0.5)))
         if recorder is not None:
-            recorder._hand_over()
+            recorder._enqueue()
             while not recorder.queue.empty():
                 await asyncio.sleep(0.0005)
         used += time.process_time() - at
@@ -106,7 +106,7 @@
     for rate in (30, 300, 1000):
         without = uvloop.run(play(rate, seconds, None))
         with tempfile.TemporaryDirectory() as name:
-            recorder = Recorder("n0", "edge-1", Keep(Path(name)))
+            recorder = Recorder("n0", "edge-1", RecordSettings(Path(name)))
             recording = uvloop.run(play(rate, seconds, recorder))
             recorder.close()
             recorder.thread.join(5)
--- a/onyxpulley/incident/__init__.py
+++ b/onyxpulley/incident/__init__.py
@@ -1,6 +1,7 @@
-"""Seeing an incident: what routers record, and what their records together say. Off on the platform.
+"""Records of what routers did, and the analysis of incidents from them. Off unless an operator sets it up.
 
-In the router: `tally` (what is recorded, free of I/O), `recorder` (the files), `hooks` (where it listens).
-Afterwards: `merge` (one order of time), `fleet` (what was when), `causes` (what went wrong, what came first),
-all free of I/O; `files`, `report`, `cli`.
+In the router: `collector` (what is recorded), `recorder` (writes the files), `hooks` (connects the collector
+to the program) and `settings`. Afterwards: `merge` (one timeline on one clock), `fleet` (the state of servers
+and routers) and `causes` (incidents and their likely causes), all without I/O; `files` and `record_set` read
+the files, `cli` is the command and `report` the HTML report.
 """
--- a/onyxpulley/incident/causes.py
+++ b/onyxpulley/incident/causes.py
@@ -1,8 +1,9 @@
-"""What went wrong, and what came first: incidents in the service, and who is suspected of each. Free of I/O.
+"""Finds incidents in the service and ranks what may have caused them. No I/O.
 
-An incident is a stretch of seconds in which more requests than usual were not served. Suspects are what
-happened shortly before it, weighed by three things that can be shown: how much of what failed then failed
-there, how near in time it was, and how many saw it. It names evidence; it proves nothing.
+An incident is a series of seconds in which a larger share of requests than usual was not served. Its suspects
+are the events around its start, scored by the share of the failed attempts that were at their servers, by how
+close in time they were, and by their kind. The number of routers that saw them is shown as evidence too. The
+score ranks the evidence; it proves nothing.
 """
 
 from __future__ import annotations
@@ -13,22 +14,27 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from onyxpulley.incident.fleet import BUCKET, FAILING, Fleet, Happening
-from onyxpulley.incident.merge import SECOND
+from onyxpulley.incident.fleet import BUCKET_S, FAILED_OUTCOMES, Fleet, TimelineEvent
+from onyxpulley.incident.merge import US_PER_SECOND
 from onyxpulley.incident.records import Kind
 
-LEAST, TIMES = 0.05, 4.0  # share not served that is one at all; times the usual share
-MOST = 0.5  # share that is one however usual it is: a recording may hold nothing but the incident
-FEW = 5  # requests of three seconds below which nothing is said of them
-CALM = 6  # seconds in between that end an incident
-BEFORE, AFTER = 20 * SECOND, 3 * SECOND  # where causes are looked for, round its start
-NEAR = 6.0  # seconds at which a happening weighs a third as much as at the very start
-SAME = 4 * SECOND  # the same kind of thing at several boxes within that is one suspect
-SURGE = 1.5  # times the requests of the half minute before
-WEIGHT: dict[str, float] = {
-    "avoid": 2.5,  # a box that stopped answering, as routers saw it
-    "vanished": 2.5,  # one that left the list without a drain
-    "gap": 2.0,  # a router that ended without a word
+# A second belongs to an incident if the share of requests not served exceeds both of these.
+MIN_FAILURE_SHARE = 0.05
+USUAL_SHARE_FACTOR = 4.0  # times the median of all seconds
+# A share that is an incident whatever is usual, since the records may hold nothing but the incident.
+MAX_THRESHOLD = 0.5
+MIN_REQUESTS = 5  # in three seconds; fewer make no share
+MAX_PAUSE_S = 6  # seconds below the threshold within one incident
+# Where suspects are looked for, around the start of the incident.
+SEARCH_BEFORE_US = 20 * US_PER_SECOND
+SEARCH_AFTER_US = 3 * US_PER_SECOND
+PROXIMITY_S = 6.0  # distance from the start at which the score for closeness in time falls to 1/e
+SAME_CAUSE_US = 4 * US_PER_SECOND  # events of one kind at several servers within this time are one suspect
+SURGE_FACTOR = 1.5  # of the request rate over that of the half minute before
+KIND_SCORES: dict[str, float] = {
+    "avoid": 2.5,  # routers ejected a server
+    "vanished": 2.5,  # a server left the membership without a drain
+    "gap": 2.0,  # a router has no records for a time, or its run ended without a shutdown
     "surge": 2.0,
     "reload": 1.5,
     "news": 1.5,
@@ -39,9 +45,11 @@
 
 @dataclass(slots=True)
 class Suspect:
-    kind: str
-    time: int
-    who: list[str]
+    """A possible cause of an incident."""
+
+    kind: str  # a key of KIND_SCORES
+    time: int  # Unix microseconds
+    subjects: list[str]  # servers, routers, the bulletin or the clients
     text: str
     score: float = 0.0
     evidence: list[str] = field(default_factory=list)
@@ -49,89 +57,94 @@
 
 @dataclass(slots=True)
 class Incident:
-    since: int  # seconds, Unix
-    until: int
-    asked: int = 0
-    lost: int = 0
-    classes: Counter[str] = field(default_factory=Counter)  # not served, by class
+    """An incident and its suspects, the most likely first."""
+
+    first_second: int  # Unix time
+    last_second: int  # inclusive
+    requests: int = 0
+    not_served: int = 0
+    not_served_by_class: Counter[str] = field(default_factory=Counter)
     suspects: list[Suspect] = field(default_factory=list)
 
 
-def incidents(fleet: Fleet) -> list[Incident]:
+def find_incidents(fleet: Fleet) -> list[Incident]:
+    """All incidents in the order of time."""
     shares: dict[int, float] = {}
     for second in fleet.seconds:
         near = [fleet.seconds[s] for s in (second - 1, second, second + 1) if s in fleet.seconds]
-        asked = sum(s.asked() for s in near)
-        if asked >= FEW:
-            shares[second] = sum(s.lost() for s in near) / asked
+        requests = sum(s.requests() for s in near)
+        if requests >= MIN_REQUESTS:
+            shares[second] = sum(s.not_served() for s in near) / requests
     if not shares:
         return []
-    most = min(MOST, max(LEAST, TIMES * median(shares.values())))
+    threshold = min(MAX_THRESHOLD, max(MIN_FAILURE_SHARE, USUAL_SHARE_FACTOR * median(shares.values())))
     found: list[Incident] = []
-    for second in sorted(s for s, share in shares.items() if share > most and fleet.seconds[s].lost()):
-        if found and second - found[-1].until <= CALM:
-            found[-1].until = second
+    for second in sorted(
+        s for s, share in shares.items() if share > threshold and fleet.seconds[s].not_served()
+    ):
+        if found and second - found[-1].last_second <= MAX_PAUSE_S:
+            found[-1].last_second = second
         else:
             found.append(Incident(second, second))
     for incident in found:
-        for second in range(incident.since, incident.until + 1):
-            row = fleet.seconds.get(second)
-            if row is None:
+        for second in range(incident.first_second, incident.last_second + 1):
+            counts = fleet.seconds.get(second)
+            if counts is None:
                 continue
-            incident.asked += row.asked()
-            incident.lost += row.lost()
-            for (cls, verdict), count in row.answers.items():
+            incident.requests += counts.requests()
+            incident.not_served += counts.not_served()
+            for (cls, verdict), count in counts.answers.items():
                 if verdict != "served":
-                    incident.classes[cls] += count
-        incident.suspects = suspects(fleet, incident)
+                    incident.not_served_by_class[cls] += count
+        incident.suspects = rank_suspects(fleet, incident)
     return found
 
 
-def kind_of(happening: Happening, drained: set[str]) -> str | None:
-    match happening.kind:
+def suspect_kind(event: TimelineEvent, drained: set[str]) -> str | None:
+    """The kind of suspect that an event makes, or None. `drained`: servers that were told to drain."""
+    match event.kind:
         case Kind.AVOID:
-            return "avoid" if happening.what == "down" else None
+            return "avoid" if event.text == "down" else None
         case Kind.LIST:
-            if happening.what == "draining":
+            if event.text == "draining":
                 return "leaving"
-            return "vanished" if happening.what == "gone" and happening.who not in drained else None
+            return "vanished" if event.text == "gone" and event.subject not in drained else None
         case Kind.PHASE:
-            return "leaving" if happening.what in ("lingering", "paused") else None
+            return "leaving" if event.text in ("lingering", "paused") else None
         case "gap":
             return "gap"
         case _:
-            return str(happening.kind) if str(happening.kind) in WEIGHT else None
+            return str(event.kind) if str(event.kind) in KIND_SCORES else None
 
 
-TEXTS = {
+SUSPECT_TEXTS = {
     "avoid": "stopped answering",
-    "vanished": "left the list without a drain",
-    "gap": "is not known of: {what}",
-    "reload": "reloaded its configuration ({what})",
-    "news": "said: {what}",
+    "vanished": "left the membership without a drain",
+    "gap": "has a gap in its records: {text}",
+    "reload": "reloaded its configuration ({text})",
+    "news": "reported: {text}",
     "leaving": "was told to drain",
     "started": "started cold",
 }
 
 
-def grouped(happenings: Iterable[Happening], drained: set[str]) -> list[Suspect]:
-    """The same at several at about the same time is one thing: a zone, a release, a power cut."""
+def group_suspects(events: Iterable[TimelineEvent], drained: set[str]) -> list[Suspect]:
+    """Makes one suspect of events of a kind that follow closely, as when a zone, a release or a power cut
+    affects many servers."""
     groups: dict[str, list[tuple[Suspect, set[str], int]]] = {}
-    for happening in happenings:
-        kind = kind_of(happening, drained)
+    for event in events:
+        kind = suspect_kind(event, drained)
         if kind is None:
             continue
         rows = groups.setdefault(kind, [])
-        if rows and happening.time - rows[-1][2] <= SAME:
+        if rows and event.time - rows[-1][2] <= SAME_CAUSE_US:
             suspect, routers, _ = rows[-1]
-            if happening.who not in suspect.who:
-                suspect.who.append(happening.who)
-            rows[-1] = (suspect, routers | happening.routers, happening.time)
+            if event.subject not in suspect.subjects:
+                suspect.subjects.append(event.subject)
+            rows[-1] = (suspect, routers | event.routers, event.time)
         else:
-            text = TEXTS[kind].format(what=happening.what)
-            rows.append(
-                (Suspect(kind, happening.time, [happening.who], text), happening.routers, happening.time)
-            )
+            text = SUSPECT_TEXTS[kind].format(text=event.text)
+            rows.append((Suspect(kind, event.time, [event.subject], text), event.routers, event.time))
     found = []
     for rows in groups.values():
         for suspect, routers, _ in rows:
@@ -140,51 +153,55 @@
     return found
 
 
-def failures(fleet: Fleet, incident: Incident) -> Counter[str]:
-    """Attempts that failed while it lasted, by server."""
-    found: Counter[str] = Counter()
-    for bucket in range((incident.since - 2) // BUCKET, incident.until // BUCKET + 1):
+def failed_attempts(fleet: Fleet, incident: Incident) -> Counter[str]:
+    """The number of failed attempts during an incident, by server."""
+    failed: Counter[str] = Counter()
+    for bucket in range((incident.first_second - 2) // BUCKET_S, incident.last_second // BUCKET_S + 1):
         for (server, outcome), count in fleet.attempts.get(bucket, {}).items():
-            if outcome in FAILING:
-                found[server] += count
-    return found
+            if outcome in FAILED_OUTCOMES:
+                failed[server] += count
+    return failed
+
 
+def surge_suspect(fleet: Fleet, incident: Incident) -> Suspect | None:
+    """A suspect if the request rate rose at the start of the incident."""
 
-def surge(fleet: Fleet, incident: Incident) -> Suspect | None:
-    def rate(since: int, until: int) -> float:
-        rows = [fleet.seconds[s].asked() for s in range(since, until) if s in fleet.seconds]
-        return sum(rows) / len(rows) if rows else 0.0
+    def mean_rate(since: int, until: int) -> float:
+        counts = [fleet.seconds[s].requests() for s in range(since, until) if s in fleet.seconds]
+        return sum(counts) / len(counts) if counts else 0.0
 
-    before = rate(incident.since - 35, incident.since - 5)
-    now = rate(incident.since - 5, incident.since + 5)
-    if before <= 0 or now < SURGE * before:
+    before = mean_rate(incident.first_second - 35, incident.first_second - 5)
+    now = mean_rate(incident.first_second - 5, incident.first_second + 5)
+    if before <= 0 or now < SURGE_FACTOR * before:
         return None
-    found = Suspect("surge", incident.since * SECOND, ["clients"], "asked for more")
+    found = Suspect("surge", incident.first_second * US_PER_SECOND, ["clients"], "sent more requests")
     found.evidence.append(f"{now:.0f} requests a second, {before:.0f} in the half minute before")
     return found
 
 
-def suspects(fleet: Fleet, incident: Incident) -> list[Suspect]:
-    """Best first."""
-    start = incident.since * SECOND
-    near = [h for h in fleet.happenings if start - BEFORE <= h.time <= start + AFTER]
+def rank_suspects(fleet: Fleet, incident: Incident) -> list[Suspect]:
+    """The suspects of an incident, the highest score first."""
+    start = incident.first_second * US_PER_SECOND
+    near = [e for e in fleet.events if start - SEARCH_BEFORE_US <= e.time <= start + SEARCH_AFTER_US]
     drained = {
-        h.who for h in fleet.happenings if h.kind is Kind.LIST and h.what == "draining" and h.time <= start
+        e.subject for e in fleet.events if e.kind is Kind.LIST and e.text == "draining" and e.time <= start
     }
-    found = grouped(near, drained)
-    more = surge(fleet, incident)
-    found += [more] if more is not None else []
-    failed = failures(fleet, incident)
+    found = group_suspects(near, drained)
+    surge = surge_suspect(fleet, incident)
+    found += [surge] if surge is not None else []
+    failed = failed_attempts(fleet, incident)
     total = failed.total()
     for suspect in found:
-        away = abs(start - suspect.time) / SECOND
-        suspect.score = WEIGHT[suspect.kind] + 2.0 * math.exp(-away / NEAR)
+        distance_s = abs(start - suspect.time) / US_PER_SECOND
+        suspect.score = KIND_SCORES[suspect.kind] + 2.0 * math.exp(-distance_s / PROXIMITY_S)
         order = "before" if suspect.time <= start else "after"
-        suspect.evidence.insert(0, f"{away:.1f} s {order} the first requests were lost")
-        there = sum(failed[who] for who in suspect.who)
-        if total and there:
-            suspect.score += 4.0 * there / total
-            suspect.evidence.append(f"{100 * there / total:.0f}% of the {total} failed attempts were there")
-        if suspect.time > start + SECOND:
+        suspect.evidence.insert(0, f"{distance_s:.1f} s {order} the first requests were not served")
+        failed_there = sum(failed[subject] for subject in suspect.subjects)
+        if total and failed_there:
+            suspect.score += 4.0 * failed_there / total
+            suspect.evidence.append(
+                f"{100 * failed_there / total:.0f}% of the {total} failed attempts were there"
+            )
+        if suspect.time > start + US_PER_SECOND:
             suspect.score -= 1.0
     return sorted(found, key=lambda s: (-s.score, s.time))
--- a/onyxpulley/incident/cli.py
+++ b/onyxpulley/incident/cli.py
@@ -1,4 +1,7 @@
-"""python -m onyxpulley.incident: looks at what routers recorded. Exits with 1 where a file was of no use."""
+"""The command `python -m onyxpulley.incident`, which reads the records of routers.
+
+Exits with 1 if a file could not be used.
+"""
 
 from __future__ import annotations
 
@@ -10,145 +13,155 @@
 import click
 
 from onyxpulley.incident import files
-from onyxpulley.incident.causes import incidents
+from onyxpulley.incident.causes import find_incidents
 from onyxpulley.incident.fleet import Fleet
-from onyxpulley.incident.load import Case, case_of
-from onyxpulley.incident.merge import SECOND
+from onyxpulley.incident.merge import US_PER_SECOND
+from onyxpulley.incident.record_set import RecordSet, load_record_set
 from onyxpulley.incident.records import Record
 
 PATHS = click.argument("paths", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 
 
-def stamp(us: int) -> str:
-    return datetime.fromtimestamp(us / SECOND, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
+def format_time(time_us: int) -> str:
+    """Date and time in UTC, to the millisecond."""
+    return datetime.fromtimestamp(time_us / US_PER_SECOND, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
 
-def opened(paths: tuple[Path, ...]) -> Case:
-    case = case_of(paths)
-    for problem in case.bad:
+def load_or_exit(paths: tuple[Path, ...]) -> RecordSet:
+    """Reads the files and reports problems on standard error. Exits with 1 if there are no records at all."""
+    record_set = load_record_set(paths)
+    for problem in record_set.unreadable:
         click.echo(f"not used: {problem}", err=True)
-    for path, at in case.torn:
-        click.echo(f"torn: {path.name}: at byte {at}; what stands before it is used", err=True)
-    if not case.runs:
-        click.echo("no records", err=True)
+    for path, offset in record_set.truncated:
+        click.echo(f"truncated: {path.name}: at byte {offset}; the records before it are used", err=True)
+    if not record_set.runs:
+        click.echo("no records found", err=True)
         sys.exit(1)
-    return case
+    return record_set
 
 
-def done(case: Case) -> None:
-    sys.exit(1 if case.bad else 0)
+def exit_with_status(record_set: RecordSet) -> None:
+    """Exits with 1 if a file could not be used, else with 0."""
+    sys.exit(1 if record_set.unreadable else 0)
 
 
 @click.group()
 def main() -> None:
-    """Records of routers: merge, inspect, replay, follow, and a report."""
+    """Merge, inspect, replay and follow the records of routers, or make a report of them."""
 
 
 @main.command()
 @PATHS
 def inspect(paths: tuple[Path, ...]) -> None:
-    """What the files hold: runs, clocks, gaps, incidents and their likely causes."""
-    case = opened(paths)
-    click.echo(f"{case.records} records")
-    for run in case.runs:
-        clock = case.clocks[run.origin.router]
-        judged = (
-            f"clock {clock.offset / SECOND:+.3f} s by {clock.anchors} events"
-            if clock.judged
-            else "clock as it is"
+    """Show runs, clock offsets, gaps, incidents and their likely causes."""
+    record_set = load_or_exit(paths)
+    click.echo(f"{record_set.record_count} records")
+    for run in record_set.runs:
+        clock = record_set.clocks[run.run_id.router]
+        clock_text = (
+            f"clock {clock.offset / US_PER_SECOND:+.3f} s by {clock.anchor_count} events"
+            if clock.is_estimated
+            else "clock not corrected"
+        )
+        click.echo(
+            f"{run.run_id.router}: from {format_time(run.run_id.epoch)}, {len(run.parts)} files, {clock_text}"
         )
-        click.echo(f"{run.origin.router}: from {stamp(run.origin.epoch)}, {len(run.parts)} files, {judged}")
-    fleet = case.fleet()
+    fleet = record_set.build_fleet()
     for router in sorted(fleet.routers.values(), key=lambda r: r.name):
         for gap in router.gaps:
-            length = f"{(gap.until - gap.since) / SECOND:.1f} s" if gap.until is not None else "to the end"
-            click.echo(f"gap: {router.name}: from {stamp(gap.since)}, {length}: {gap.state}")
-    for no, incident in enumerate(incidents(fleet), 1):
-        seconds = incident.until - incident.since + 1
-        click.echo(f"incident {no}: {stamp(incident.since * SECOND)}, {seconds} s, "
-                   f"{incident.lost} of {incident.asked} not served")  # fmt: skip
+            length = (
+                f"{(gap.until - gap.since) / US_PER_SECOND:.1f} s" if gap.until is not None else "to the end"
+            )
+            click.echo(f"gap: {router.name}: from {format_time(gap.since)}, {length}: {gap.state}")
+    for number, incident in enumerate(find_incidents(fleet), 1):
+        seconds = incident.last_second - incident.first_second + 1
+        click.echo(f"incident {number}: {format_time(incident.first_second * US_PER_SECOND)}, {seconds} s, "
+                   f"{incident.not_served} of {incident.requests} not served")  # fmt: skip
         for suspect in incident.suspects[:3]:
-            who = ", ".join(suspect.who[:4]) + (" …" if len(suspect.who) > 4 else "")
-            click.echo(f"  {suspect.score:.1f} {who} {suspect.text}: {'; '.join(suspect.evidence)}")
-    done(case)
+            subjects = ", ".join(suspect.subjects[:4]) + (" …" if len(suspect.subjects) > 4 else "")
+            click.echo(f"  {suspect.score:.1f} {subjects} {suspect.text}: {'; '.join(suspect.evidence)}")
+    exit_with_status(record_set)
 
 
 @main.command()
 @PATHS
-@click.option("-o", "--output", required=True, type=click.Path(path_type=Path), help="a Parquet file")
+@click.option("-o", "--output", required=True, type=click.Path(path_type=Path), help="Parquet file to write")
 def merge(paths: tuple[Path, ...], output: Path) -> None:
-    """All records on one clock, as one Parquet file."""
-    case = opened(paths)
+    """Write all records, on one clock, to a Parquet file."""
+    record_set = load_or_exit(paths)
     rows = (
-        (entry.origin.router, entry.origin.epoch, entry.time, entry.what)
-        for entry in case.entries()
-        if isinstance(entry.what, Record)
+        (entry.run_id.router, entry.run_id.epoch, entry.time, entry.content)
+        for entry in record_set.entries()
+        if isinstance(entry.content, Record)
     )
     click.echo(f"{files.write_parquet(output, rows)} records")
-    done(case)
+    exit_with_status(record_set)
 
 
 @main.command()
 @PATHS
 @click.option("--since", type=click.DateTime(), help="UTC")
 @click.option("--until", type=click.DateTime(), help="UTC")
-@click.option("--speed", type=float, default=0.0, help="times as fast as it was; 0: at once")
+@click.option("--speed", type=float, default=0.0, help="multiple of real time; 0: without pauses")
 def replay(paths: tuple[Path, ...], since: datetime | None, until: datetime | None, speed: float) -> None:
-    """What happened, in time order."""
-    case = opened(paths)
-    first = since.replace(tzinfo=UTC).timestamp() * SECOND if since else -float("inf")
-    last = until.replace(tzinfo=UTC).timestamp() * SECOND if until else float("inf")
-    before: int | None = None
-    for entry, happening in case.replay():
+    """Print the events in the order of time."""
+    record_set = load_or_exit(paths)
+    first = since.replace(tzinfo=UTC).timestamp() * US_PER_SECOND if since else -float("inf")
+    last = until.replace(tzinfo=UTC).timestamp() * US_PER_SECOND if until else float("inf")
+    previous: int | None = None
+    for entry, event in record_set.replay():
         if not first <= entry.time <= last:
             continue
-        if speed > 0 and before is not None:
-            time.sleep(min(60.0, (entry.time - before) / SECOND / speed))
-        before = entry.time
-        click.echo(f"{stamp(entry.time)} {happening.who}: {happening.what} ({entry.origin.router})")
-    done(case)
+        if speed > 0 and previous is not None:
+            time.sleep(min(60.0, (entry.time - previous) / US_PER_SECOND / speed))
+        previous = entry.time
+        click.echo(f"{format_time(entry.time)} {event.subject}: {event.text} ({entry.run_id.router})")
+    exit_with_status(record_set)
 
 
 @main.command()
 @PATHS
-@click.option("--rounds", type=int, default=0, help="looks, a second apart; 0: until interrupted")
+@click.option("--rounds", type=int, default=0, help="number of reads, a second apart; 0: until interrupted")
 def follow(paths: tuple[Path, ...], rounds: int) -> None:
-    """The fleet as files grow: a line when something happens, and one each second for the service."""
-    said = set[tuple[int, str, str]]()
-    no = 0
-    while not rounds or no < rounds:
-        no += 1
-        case = case_of(paths)
-        fleet = case.fleet()
-        for happening in fleet.happenings:
-            mark = (happening.time, happening.who, happening.what)
-            ends = happening.kind == "gap" and happening.what == "it ends without a word"
-            if mark not in said and not ends:  # the last second of a file that grows is no end
-                said.add(mark)
-                click.echo(f"{stamp(happening.time)} {happening.who}: {happening.what}")
-        click.echo(service(fleet))
-        if not rounds or no < rounds:
+    """Watch growing files: print new events, and a summary of the service each second."""
+    printed = set[tuple[int, str, str]]()
+    number = 0
+    while not rounds or number < rounds:
+        number += 1
+        record_set = load_record_set(paths)
+        fleet = record_set.build_fleet()
+        for event in fleet.events:
+            key = (event.time, event.subject, event.text)
+            is_open_end = event.kind == "gap" and event.text == "it ended without a shutdown"
+            if key not in printed and not is_open_end:  # a file that still grows has no shutdown yet
+                printed.add(key)
+                click.echo(f"{format_time(event.time)} {event.subject}: {event.text}")
+        click.echo(service_summary(fleet))
+        if not rounds or number < rounds:
             time.sleep(1.0)
 
 
-def service(fleet: Fleet) -> str:
+def service_summary(fleet: Fleet) -> str:
+    """Requests of the last five seconds and the present state of the servers, in one line."""
     last = max(fleet.seconds, default=0)
-    rows = [fleet.seconds[s] for s in range(last - 4, last + 1) if s in fleet.seconds]
-    asked, lost = sum(r.asked() for r in rows), sum(r.lost() for r in rows)
-    states = [box.state for box in fleet.boxes.values()]
-    avoided = sum(bool(box.avoiders) for box in fleet.boxes.values())
-    boxes = f"{states.count('ready')} ready, {states.count('draining')} draining, {avoided} avoided"
-    return f"-- {asked / 5:.0f} requests a second, {lost} of {asked} not served; boxes: {boxes}"
+    counts = [fleet.seconds[s] for s in range(last - 4, last + 1) if s in fleet.seconds]
+    requests, not_served = sum(c.requests() for c in counts), sum(c.not_served() for c in counts)
+    states = [server.state for server in fleet.servers.values()]
+    ejected = sum(bool(server.ejected_by) for server in fleet.servers.values())
+    servers = f"{states.count('ready')} ready, {states.count('draining')} draining, {ejected} ejected"
+    return (
+        f"-- {requests / 5:.0f} requests a second, {not_served} of {requests} not served; servers: {servers}"
+    )
 
 
 @main.command()
 @PATHS
-@click.option("-o", "--output", required=True, type=click.Path(path_type=Path), help="an HTML file")
+@click.option("-o", "--output", required=True, type=click.Path(path_type=Path), help="HTML file to write")
 def report(paths: tuple[Path, ...], output: Path) -> None:
-    """A self-contained HTML report."""
-    from onyxpulley.incident.report import render
+    """Write a self-contained HTML report."""
+    from onyxpulley.incident.report import render_report
 
-    case = opened(paths)
-    output.write_text(render(case), encoding="utf-8")
-    click.echo(f"{output}: {len(case.runs)} runs, {case.records} records")
-    done(case)
+    record_set = load_or_exit(paths)
+    output.write_text(render_report(record_set), encoding="utf-8")
+    click.echo(f"{output}: {len(record_set.runs)} runs, {record_set.record_count} records")
+    exit_with_status(record_set)
--- a/onyxpulley/incident/files.py
+++ b/onyxpulley/incident/files.py
@@ -1,4 +1,4 @@
-"""Records in files: Arrow streams, a batch a second. One that ends torn is read up to where it is whole."""
+"""Files of records: Arrow streams, one batch a second. Truncated files are read up to the last full batch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pyarrow.compute as pc
 import pyarrow.parquet as pq
 
-from onyxpulley.incident.records import FORMAT, VERSION, Kind, Origin, Record
+from onyxpulley.incident.records import FORMAT, VERSION, Kind, Record, RunId
 
 SUFFIX = ".arrows"
 NAMES = pa.dictionary(pa.int32(), pa.utf8())
@@ -31,101 +31,106 @@
 )
 
 
-class Unreadable(Exception):
-    """A file of no use: which, where, why."""
+class UnreadableFile(Exception):
+    """A file that cannot be used: its path, the byte offset of the problem, and the reason."""
 
-    def __init__(self, path: Path, offset: int, why: str) -> None:
-        super().__init__(f"{path.name}: at byte {offset}: {why}")
-        self.path, self.offset, self.why = path, offset, why
+    def __init__(self, path: Path, offset: int, reason: str) -> None:
+        super().__init__(f"{path.name}: at byte {offset}: {reason}")
+        self.path, self.offset, self.reason = path, offset, reason
 
 
-def schema_of(origin: Origin, part: int, zone: str) -> pa.Schema:
-    told = {
+def file_schema(run_id: RunId, part: int, zone: str) -> pa.Schema:
+    """The columns of a file, with the metadata that identify its run and its part of it."""
+    metadata = {
         "format": FORMAT,
         "version": VERSION,
-        "router": origin.router,
-        "epoch": origin.epoch,
+        "router": run_id.router,
+        "epoch": run_id.epoch,
         "part": part,
     }
-    return COLUMNS.with_metadata({"onyxpulley": json.dumps({**told, "zone": zone})})
+    return COLUMNS.with_metadata({"onyxpulley": json.dumps({**metadata, "zone": zone})})
 
 
-def batch_of(rows: Sequence[Record]) -> pa.RecordBatch:
+def record_batch(records: Sequence[Record]) -> pa.RecordBatch:
+    """The records as one Arrow batch."""
     columns = [
-        pa.array([getattr(row, field.name) for row in rows], field.type)
+        pa.array([getattr(record, field.name) for record in records], field.type)
         for field in COLUMNS
     ]  # fmt: skip
     return pa.RecordBatch.from_arrays(columns, schema=COLUMNS)
 
 
 @dataclass(slots=True)
-class Diary:
-    """What one file holds, in the order of its numbers."""
+class RecordFile:
+    """The contents of one file, sorted by sequence number."""
 
     path: Path
-    origin: Origin
+    run_id: RunId
     part: int
     zone: str
     table: pa.Table
-    torn_at: int  # byte at which it ends within a batch, -1: it is whole
+    truncated_at: int  # byte offset of the first batch that cannot be read; -1 if the file is complete
 
     def records(self, kinds: frozenset[Kind] | None = None) -> Iterator[Record]:
-        """All, or those of some kinds, which are picked out before they are made."""
+        """All records, or those of some kinds; others are filtered out before objects are made of them."""
         table = self.table
         if kinds is not None:
             table = table.filter(pc.is_in(table.column("kind"), pa.array(sorted(kinds))))
         for batch in table.to_batches(max_chunksize=4096):
-            columns = [batch.column(no).to_pylist() for no in range(batch.num_columns)]
+            columns = [batch.column(index).to_pylist() for index in range(batch.num_columns)]
             for seq, at, kind, server, cls, cause, count, value, detail in zip(*columns, strict=True):
                 yield Record(seq, at, Kind(kind), server, cls, cause, count, value, detail)
 
 
-def read(path: Path) -> Diary:
-    """Raises Unreadable on what is no file of records of this version."""
+def read_file(path: Path) -> RecordFile:
+    """Raises UnreadableFile if it is not a file of records of this version."""
     try:
         source = pa.OSFile(str(path))
     except OSError as problem:
-        raise Unreadable(path, 0, str(problem.strerror or problem)) from problem
+        raise UnreadableFile(path, 0, str(problem.strerror or problem)) from problem
     with source:
         try:
             stream = pa.ipc.open_stream(source)
-            told = json.loads((stream.schema.metadata or {})[b"onyxpulley"])
-            version, name = told["version"], str(told["format"])
+            metadata = json.loads((stream.schema.metadata or {})[b"onyxpulley"])
+            version, name = metadata["version"], str(metadata["format"])
         except (pa.ArrowException, OSError, KeyError, ValueError, TypeError) as problem:
-            raise Unreadable(path, 0, f"no records: {str(problem)[:120]}") from problem
+            raise UnreadableFile(path, 0, f"not a file of records: {str(problem)[:120]}") from problem
         if name != FORMAT or version != VERSION:
-            raise Unreadable(path, 0, f"version {version} of {name!r}; this reads {VERSION} of {FORMAT!r}")
+            raise UnreadableFile(
+                path, 0, f"version {version} of {name!r}, but only {VERSION} of {FORMAT!r} can be read"
+            )
         if stream.schema.remove_metadata() != COLUMNS:
-            raise Unreadable(path, 0, "other columns than its version has")
-        batches, torn = list[pa.RecordBatch](), -1
-        at = source.tell()
+            raise UnreadableFile(path, 0, "its columns are not those of its version")
+        batches, truncated_at = list[pa.RecordBatch](), -1
+        offset = source.tell()
         while True:
             try:
                 batch = stream.read_next_batch()
                 batch.validate(full=True)
-                _known(batch)
+                _check_kinds(batch)
             except StopIteration:
                 break
             except (pa.ArrowException, OSError, ValueError) as problem:
-                torn = at
+                truncated_at = offset
                 del problem
                 break
             batches.append(batch)
-            at = source.tell()
+            offset = source.tell()
     table = pa.Table.from_batches(batches, COLUMNS).sort_by("seq") if batches else COLUMNS.empty_table()
-    origin = Origin(str(told["router"]), int(told["epoch"]))
-    return Diary(path, origin, int(told["part"]), str(told.get("zone", "")), table, torn)
+    run_id = RunId(str(metadata["router"]), int(metadata["epoch"]))
+    return RecordFile(path, run_id, int(metadata["part"]), str(metadata.get("zone", "")), table, truncated_at)
 
 
-def _known(batch: pa.RecordBatch) -> None:
+def _check_kinds(batch: pa.RecordBatch) -> None:
+    """Raises ValueError on an unknown kind of record."""
     kinds = set(pc.unique(batch.column("kind")).to_pylist())
     unknown = kinds - set(Kind)
     if unknown:
         raise ValueError(f"unknown kind {sorted(unknown)[0]!r}")
 
 
-def find(paths: Iterable[Path]) -> list[Path]:
-    """Files as they are named, and those of records in the folders that are."""
+def find_files(paths: Iterable[Path]) -> list[Path]:
+    """The files among the paths, and the files of records in the folders among them."""
     found: list[Path] = []
     for path in paths:
         found += sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
@@ -133,20 +138,23 @@
 
 
 def write_parquet(path: Path, rows: Iterable[tuple[str, int, int, Record]]) -> int:
-    """Merged records, a row each: router, epoch, the time on the common clock, and the record."""
+    """Writes merged records and returns their number.
+
+    A row holds the router, the epoch, the time on the common clock (Unix microseconds), and the record.
+    """
     schema = pa.schema([("router", pa.utf8()), ("epoch", pa.int64()), ("time", pa.int64()), *COLUMNS])
-    count, held = 0, list[dict[str, Any]]()
+    count, pending = 0, list[dict[str, Any]]()
     with pq.ParquetWriter(path, schema, compression="zstd") as writer:
 
         def flush() -> None:
-            writer.write_table(pa.Table.from_pylist(held, schema))
-            held.clear()
+            writer.write_table(pa.Table.from_pylist(pending, schema))
+            pending.clear()
 
         for router, epoch, time, record in rows:
             row = {name: getattr(record, name) for name in COLUMNS.names}
-            held.append({"router": router, "epoch": epoch, "time": time, **row})
+            pending.append({"router": router, "epoch": epoch, "time": time, **row})
             count += 1
-            if len(held) >= 50_000:
+            if len(pending) >= 50_000:
                 flush()
         flush()
     return count
--- a/onyxpulley/incident/fleet.py
+++ b/onyxpulley/incident/fleet.py
@@ -1,4 +1,4 @@
-"""What was when: the fleet's state, folded out of entries in the order of time. Free of I/O."""
+"""The state of the fleet over time: servers, routers, requests and events, from merged entries. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 from hdrh.histogram import HdrHistogram
 
-from onyxpulley.incident.merge import FRESH, SECOND, Entry, Gap
+from onyxpulley.incident.collector import HISTOGRAM_DIGITS, MAX_LATENCY_MS
+from onyxpulley.incident.merge import STARTUP_US, US_PER_SECOND, Entry, Gap
 from onyxpulley.incident.records import Kind, Record
-from onyxpulley.incident.tally import DIGITS, LONGEST
 
-TOGETHER = 10 * SECOND  # the same told by several routers within that is one happening
+SAME_EVENT_US = 10 * US_PER_SECOND  # equal reports of several routers within this time are one event
 PURGE = "purge"
-BUCKET = 5  # seconds in which the attempts at one server are added up
-FAILING = frozenset({"failed", "timed out", "unreachable", "broken", "full"})
-STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
+BUCKET_S = 5  # seconds over which the attempts at one server are added up
+FAILED_OUTCOMES = frozenset({"failed", "timed out", "unreachable", "broken", "full"})
+SERVER_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 
 
 @dataclass(slots=True)
-class Span:
-    """Something that held for a while."""
+class Interval:
+    """A state and how long it lasted, in Unix microseconds. `until` is None while it lasts."""
 
     state: str
     since: int
@@ -28,196 +28,220 @@
 
 
 @dataclass(slots=True)
-class Happening:
-    """What staff would put on the timeline. `routers`: who said so."""
+class TimelineEvent:
+    """An event of the timeline, as one or several routers reported it. Times are in Unix microseconds."""
 
     time: int
     kind: Kind | str
-    who: str
-    what: str
-    last: int
-    routers: set[str] = field(default_factory=set)
+    subject: str  # a server, a router, an object or group, or the bulletin
+    text: str
+    last_reported_at: int
+    routers: set[str] = field(default_factory=set)  # that reported it
     value: float = 0.0
 
 
 @dataclass(slots=True)
-class Box:
+class Server:
+    """A server that requests are routed to, as the routers saw it."""
+
     uid: str
     role: str = ""
     zone: str = ""
-    spans: list[Span] = field(default_factory=list)
-    avoided: list[Span] = field(default_factory=list)  # while any router avoids it
-    warming: list[Span] = field(default_factory=list)  # cold after a start, as long as the settings say
-    avoiders: set[str] = field(default_factory=set)
-    boot: float = 0.0
-    load: dict[int, float] = field(default_factory=dict)  # by bucket, the most that any router heard
+    states: list[Interval] = field(default_factory=list)
+    ejections: list[Interval] = field(default_factory=list)  # while at least one router ejects it
+    slow_starts: list[Interval] = field(default_factory=list)  # cold after a start, for the configured time
+    ejected_by: set[str] = field(default_factory=set)  # routers
+    boot_ms: float = 0.0  # Unix milliseconds, 0: not known
+    load: dict[int, float] = field(default_factory=dict)  # by bucket, the highest that any router was told
 
     @property
     def state(self) -> str:
-        return self.spans[-1].state if self.spans else ""
+        """The last state, or an empty string."""
+        return self.states[-1].state if self.states else ""
 
 
 @dataclass(slots=True)
 class Router:
+    """A router that wrote records, over all its runs."""
+
     name: str
     runs: int = 0
-    phases: list[Span] = field(default_factory=list)
-    gaps: list[Span] = field(default_factory=list)
-    dropped: int = 0
+    phases: list[Interval] = field(default_factory=list)
+    gaps: list[Interval] = field(default_factory=list)
+    dropped: int = 0  # records
 
 
 @dataclass(slots=True)
-class Second:
+class SecondCounts:
+    """The answers of one second, of all routers together."""
+
     answers: Counter[tuple[str, str]] = field(default_factory=Counter)  # by class and verdict
 
-    def asked(self) -> int:
+    def requests(self) -> int:
+        """The number of requests that were answered, whatever the verdict."""
         return self.answers.total()
 
-    def lost(self) -> int:
+    def not_served(self) -> int:
+        """The number of requests with any other verdict than served."""
         return sum(n for (_, verdict), n in self.answers.items() if verdict != "served")
 
 
 class Fleet:
+    """The state of all servers and routers, built up by applying entries in the order of time."""
+
     def __init__(self) -> None:
-        self.boxes: dict[str, Box] = {}
+        self.servers: dict[str, Server] = {}
         self.routers: dict[str, Router] = {}
-        self.seconds: dict[int, Second] = {}
+        self.seconds: dict[int, SecondCounts] = {}  # by Unix time
         self.attempts: dict[int, Counter[tuple[str, str]]] = {}  # by bucket: server and outcome
-        self.times: dict[str, HdrHistogram] = {}  # by class, ms of what was served
-        self.happenings: list[Happening] = []
-        self.open: dict[tuple[str, str, str, float], Happening] = {}
-        self.first = self.last = 0
-        self.cold = 0.0  # seconds
-
-    # ---- Feeding, in the order of time
-    def feed(self, entry: Entry) -> Happening | None:
-        """The happening that this entry begins, if it begins one."""
+        self.latencies: dict[str, HdrHistogram] = {}  # of served requests by class, ms
+        self.events: list[TimelineEvent] = []  # without purges
+        self.recent_events: dict[tuple[str, str, str, float], TimelineEvent] = {}
+        self.first = self.last = 0  # Unix microseconds
+        self.slow_start_s = 0.0
+
+    # ---- Applying entries, in the order of time
+    def apply(self, entry: Entry) -> TimelineEvent | None:
+        """Updates the state. Returns the event that this entry is the first to report, if there is one."""
         self.first, self.last = self.first or entry.time, max(self.last, entry.time)
-        router = self.routers.setdefault(entry.origin.router, Router(entry.origin.router))
-        if isinstance(entry.what, Gap):
-            return self._gap(entry, entry.what, router)
-        record = entry.what
+        router = self.routers.setdefault(entry.run_id.router, Router(entry.run_id.router))
+        if isinstance(entry.content, Gap):
+            return self._apply_gap(entry, entry.content, router)
+        record = entry.content
         match record.kind:
             case Kind.ANSWER:
-                second = self.seconds.setdefault(entry.time // SECOND, Second())
+                second = self.seconds.setdefault(entry.time // US_PER_SECOND, SecondCounts())
                 second.answers[record.cls, record.cause] += record.count
                 if record.detail:
-                    times = self.times.setdefault(record.cls, HdrHistogram(1, LONGEST, DIGITS))
-                    times.decode_and_add(record.detail)
+                    latencies = self.latencies.setdefault(
+                        record.cls, HdrHistogram(1, MAX_LATENCY_MS, HISTOGRAM_DIGITS)
+                    )
+                    latencies.decode_and_add(record.detail)
             case Kind.ATTEMPT:
-                bucket = self.attempts.setdefault(entry.time // SECOND // BUCKET, Counter())
+                bucket = self.attempts.setdefault(entry.time // US_PER_SECOND // BUCKET_S, Counter())
                 bucket[record.server, record.cause] += record.count
             case Kind.LOAD:
-                load, at = self._box(record.server).load, entry.time // SECOND // BUCKET
-                load[at] = max(load.get(at, 0.0), record.value)
+                load, index = self._server(record.server).load, entry.time // US_PER_SECOND // BUCKET_S
+                load[index] = max(load.get(index, 0.0), record.value)
             case Kind.LIST:
-                return self._listed(entry, record)
+                return self._apply_membership(entry, record)
             case Kind.AVOID:
-                return self._avoided(entry, record)
+                return self._apply_ejection(entry, record)
             case Kind.PHASE:
-                return self._phase(entry, record, router)
+                return self._apply_phase(entry, record, router)
             case Kind.PURGE:
-                return self._happens(entry, PURGE, record.detail, "purged", record.value)
+                return self._add_event(entry, PURGE, record.detail, "purged", record.value)
             case Kind.RELOAD:
-                return self._happens(entry, Kind.RELOAD, entry.origin.router, f"reload {record.cause}")
+                return self._add_event(entry, Kind.RELOAD, entry.run_id.router, f"reload {record.cause}")
             case Kind.NEWS:
-                return self._happens(entry, Kind.NEWS, "bulletin", record.detail.partition(" after ")[0], 0.0)
+                return self._add_event(
+                    entry, Kind.NEWS, "bulletin", record.detail.partition(" after ")[0], 0.0
+                )
             case Kind.DROPPED:
                 router.dropped += record.count
         return None
 
-    def _box(self, uid: str) -> Box:
-        return self.boxes.setdefault(uid, Box(uid))
-
-    def _happens(
-        self, entry: Entry, kind: Kind | str, who: str, what: str, value: float = 0.0
-    ) -> Happening | None:
-        """One happening, however many routers tell of it."""
-        key = (str(kind), who, what, value)
-        found = self.open.get(key)
-        if found is not None and entry.time - found.last < TOGETHER:
-            found.last = entry.time
-            found.routers.add(entry.origin.router)
+    def _server(self, uid: str) -> Server:
+        return self.servers.setdefault(uid, Server(uid))
+
+    def _add_event(
+        self, entry: Entry, kind: Kind | str, subject: str, text: str, value: float = 0.0
+    ) -> TimelineEvent | None:
+        """Adds a new event, or a router to an event that others reported within the last seconds."""
+        key = (str(kind), subject, text, value)
+        found = self.recent_events.get(key)
+        if found is not None and entry.time - found.last_reported_at < SAME_EVENT_US:
+            found.last_reported_at = entry.time
+            found.routers.add(entry.run_id.router)
             return None
-        new = Happening(entry.time, kind, who, what, entry.time, {entry.origin.router}, value)
-        self.open[key] = new
-        if kind != PURGE:  # there may be thousands an hour: they are replayed, not kept
-            self.happenings.append(new)
-        if len(self.open) > 10_000:
-            self.open = {k: h for k, h in self.open.items() if entry.time - h.last < TOGETHER}
+        new = TimelineEvent(entry.time, kind, subject, text, entry.time, {entry.run_id.router}, value)
+        self.recent_events[key] = new
+        if kind != PURGE:  # there may be thousands an hour: they are replayed, but not kept
+            self.events.append(new)
+        if len(self.recent_events) > 10_000:
+            self.recent_events = {
+                k: event
+                for k, event in self.recent_events.items()
+                if entry.time - event.last_reported_at < SAME_EVENT_US
+            }
         return new
 
-    def _listed(self, entry: Entry, record: Record) -> Happening | None:
-        box = self._box(record.server)
-        box.role, _, box.zone = record.detail.partition("@")
-        state = STATES.get(record.cause, record.cause)
-        begins = state == box.state and record.value != box.boot and record.value > 0
-        if state == box.state and not begins:
-            self._happens_again(entry, record.server, state, record.value)
+    def _apply_membership(self, entry: Entry, record: Record) -> TimelineEvent | None:
+        server = self._server(record.server)
+        server.role, _, server.zone = record.detail.partition("@")
+        state = SERVER_STATES.get(record.cause, record.cause)
+        has_restarted = state == server.state and record.value != server.boot_ms and record.value > 0
+        if state == server.state and not has_restarted:
+            self._confirm_event(entry, record.server, state, record.value)
             return None
-        if _order(state) < _order(box.state) and record.value == box.boot and box.state == "draining":
-            return None  # a router that is late: the same start was told to drain already
-        if box.spans:
-            box.spans[-1].until = entry.time
-        cold = record.value > 0 and record.value != box.boot and state == "ready"
-        box.boot = record.value or box.boot
-        until = round((record.value / 1000 + self.cold) * SECOND)
-        if cold and until > entry.time:
-            box.warming.append(Span("warming", round(record.value * 1000), until))
+        if (
+            _state_order(state) < _state_order(server.state)
+            and record.value == server.boot_ms
+            and server.state == "draining"
+        ):
+            return None  # a late report: another router has reported the drain of the same start already
+        if server.states:
+            server.states[-1].until = entry.time
+        is_cold = record.value > 0 and record.value != server.boot_ms and state == "ready"
+        server.boot_ms = record.value or server.boot_ms
+        until = round((record.value / 1000 + self.slow_start_s) * US_PER_SECOND)
+        if is_cold and until > entry.time:
+            server.slow_starts.append(Interval("slow start", round(record.value * 1000), until))
         if state == "gone":
-            box.avoiders.clear()
-            if box.avoided and box.avoided[-1].until is None:
-                box.avoided[-1].until = entry.time
-        box.spans.append(Span(state, entry.time))
-        if len(box.spans) == 1 and state == "ready" and record.at - entry.origin.epoch < FRESH:
-            return None  # what it knew at its start
-        return self._happens(entry, "started" if cold else Kind.LIST, record.server, state, record.value)
-
-    def _happens_again(self, entry: Entry, who: str, what: str, value: float) -> None:
+            server.ejected_by.clear()
+            if server.ejections and server.ejections[-1].until is None:
+                server.ejections[-1].until = entry.time
+        server.states.append(Interval(state, entry.time))
+        if len(server.states) == 1 and state == "ready" and record.at - entry.run_id.epoch < STARTUP_US:
+            return None  # the membership that the router learnt at its start
+        return self._add_event(entry, "started" if is_cold else Kind.LIST, record.server, state, record.value)
+
+    def _confirm_event(self, entry: Entry, subject: str, text: str, value: float) -> None:
+        """Adds a router to a recent event of the membership."""
         for kind in ("started", str(Kind.LIST)):
-            found = self.open.get((kind, who, what, value))
-            if found is not None and entry.time - found.last < TOGETHER:
-                found.last = entry.time
-                found.routers.add(entry.origin.router)
-
-    def _avoided(self, entry: Entry, record: Record) -> Happening | None:
-        box = self._box(record.server)
-        box.role = box.role or record.detail.partition(" ")[0]
+            found = self.recent_events.get((kind, subject, text, value))
+            if found is not None and entry.time - found.last_reported_at < SAME_EVENT_US:
+                found.last_reported_at = entry.time
+                found.routers.add(entry.run_id.router)
+
+    def _apply_ejection(self, entry: Entry, record: Record) -> TimelineEvent | None:
+        server = self._server(record.server)
+        server.role = server.role or record.detail.partition(" ")[0]
         if record.cause == "down":
-            if not box.avoiders:
-                box.avoided.append(Span("avoided", entry.time))
-            box.avoiders.add(entry.origin.router)
+            if not server.ejected_by:
+                server.ejections.append(Interval("ejected", entry.time))
+            server.ejected_by.add(entry.run_id.router)
         else:
-            box.avoiders.discard(entry.origin.router)
-            if not box.avoiders and box.avoided:
-                box.avoided[-1].until = entry.time
-        return self._happens(entry, Kind.AVOID, record.server, record.cause)
+            server.ejected_by.discard(entry.run_id.router)
+            if not server.ejected_by and server.ejections:
+                server.ejections[-1].until = entry.time
+        return self._add_event(entry, Kind.AVOID, record.server, record.cause)
 
-    def _phase(self, entry: Entry, record: Record, router: Router) -> Happening | None:
+    def _apply_phase(self, entry: Entry, record: Record, router: Router) -> TimelineEvent | None:
         if record.cause == "starting":
-            self.cold = record.value or self.cold
+            self.slow_start_s = record.value or self.slow_start_s
             router.runs += 1
-            self._closes(router, entry.time)
-            for box in self.boxes.values():  # a new run avoids nobody
-                box.avoiders.discard(router.name)
-                if not box.avoiders and box.avoided and box.avoided[-1].until is None:
-                    box.avoided[-1].until = entry.time
+            self._end_gap(router, entry.time)
+            for server in self.servers.values():  # a new run has ejected no server yet
+                server.ejected_by.discard(router.name)
+                if not server.ejected_by and server.ejections and server.ejections[-1].until is None:
+                    server.ejections[-1].until = entry.time
         if router.phases:
             router.phases[-1].until = entry.time
-        router.phases.append(Span(record.cause, entry.time))
-        return self._happens(entry, Kind.PHASE, router.name, record.cause)
+        router.phases.append(Interval(record.cause, entry.time))
+        return self._add_event(entry, Kind.PHASE, router.name, record.cause)
 
-    def _gap(self, entry: Entry, gap: Gap, router: Router) -> Happening | None:
-        self._closes(router, entry.time)
+    def _apply_gap(self, entry: Entry, gap: Gap, router: Router) -> TimelineEvent | None:
+        self._end_gap(router, entry.time)
         until = entry.time + (gap.until - gap.since) if gap.until is not None else None
-        router.gaps.append(Span(gap.why, entry.time, until))
-        return self._happens(entry, "gap", router.name, gap.why, float(gap.missing))
+        router.gaps.append(Interval(gap.reason, entry.time, until))
+        return self._add_event(entry, "gap", router.name, gap.reason, float(gap.missing))
 
     @staticmethod
-    def _closes(router: Router, time: int) -> None:
+    def _end_gap(router: Router, time: int) -> None:
         if router.gaps and router.gaps[-1].until is None:
             router.gaps[-1].until = time
 
 
-def _order(state: str) -> int:
+def _state_order(state: str) -> int:
     return {"": 0, "ready": 1, "draining": 2, "gone": 3}.get(state, 0)
--- a/onyxpulley/incident/records.py
+++ b/onyxpulley/incident/records.py
@@ -1,4 +1,4 @@
-"""What one record is. Version 1; a reader refuses every other."""
+"""The format of a record. This is version 1; files of any other version are rejected."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class Kind(StrEnum):
-    PHASE = (
-        "phase"  # cause: the phase of the program itself; value, at the start: seconds that servers are cold
-    )
+    """What a record is about, and which of its fields it uses."""
+
+    PHASE = "phase"  # cause: the program's new phase; value: seconds of slow start, in the starting phase
     RELOAD = "reload"  # cause: applied or rejected
-    LIST = "list"  # server, cause: its state, value: when it was started (Unix ms) or 0, detail: kind@zone
+    LIST = "list"  # server, cause: its state, value: its start (Unix ms) or 0, detail: kind@zone
     PURGE = "purge"  # value: when it was issued (Unix ms), detail: the object or group
-    NEWS = "news"  # detail: what the bulletin's side said of itself
-    AVOID = "avoid"  # server, cause: down or up, detail: why
-    LOAD = "load"  # server, value: the last of its reports in that second
-    ANSWER = "answer"  # cls, cause: the verdict, count, detail: a histogram of the times where served
-    ATTEMPT = "attempt"  # server, cause: the outcome, count, value: mean time in ms
-    DROPPED = "dropped"  # count: records of that second that had no room
-    HERE = "here"  # each second: a router that says nothing else is there all the same
+    NEWS = "news"  # detail: a message of the discovery client about its connections
+    AVOID = "avoid"  # ejection of a server: server, cause: down or up, detail: the log line
+    LOAD = "load"  # server, value: the last load that it reported in that second
+    ANSWER = "answer"  # cls, cause: the verdict, count, detail: a histogram of latencies, if served
+    ATTEMPT = "attempt"  # server, cause: the outcome, count, value: mean latency in ms
+    DROPPED = "dropped"  # count: records of that second that exceeded a limit
+    HERE = "here"  # heartbeat, in a second without other records
 
 
-MERGED = frozenset({Kind.LOAD, Kind.ANSWER, Kind.ATTEMPT})  # sums of a second, written at its end
+MERGED = frozenset({Kind.LOAD, Kind.ANSWER, Kind.ATTEMPT})  # sums over a second, written at its end
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One line of a router's own diary. `at` is its own wall clock, in Unix microseconds."""
+    """One row of a router's file. `at` is the router's own wall clock, in Unix microseconds."""
 
-    seq: int  # from 0 in each epoch, without holes
+    seq: int  # consecutive, from 0 in each run
     at: int
     kind: Kind
     server: str = ""
@@ -44,8 +44,8 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Origin:
-    """A run of a router: the same name started anew is another epoch."""
+class RunId:
+    """Identifies one run of a router: a restart under the same name is another epoch."""
 
     router: str
-    epoch: int  # when it started, by its own clock, in Unix microseconds
+    epoch: int  # when the run started, by the router's own clock, in Unix microseconds
--- a/onyxpulley/operator_config.py
+++ b/onyxpulley/operator_config.py
@@ -12,7 +12,7 @@
 
 from onyxpulley.admin import ROLES
 from onyxpulley.config import BadConfig, parse_address
-from onyxpulley.incident.keep import Keep
+from onyxpulley.incident.settings import RecordSettings
 from onyxpulley.spiffe.files import IdentityFiles
 from onyxpulley.spiffe.ids import InvalidIdentity, read_spiffe_id, read_trust_domain
 from onyxpulley.spiffe.peers import ConnectionLifetime, ExpectedIdentities, read_callers
@@ -31,7 +31,7 @@
     admin_listen: tuple[str, int] | None  # host and port of the administration API
     admin_roles: dict[str, str]  # by the callers' SPIFFE IDs
     identities: IdentitySettings | None
-    records: Keep | None = None
+    records: RecordSettings | None = None
 
 
 def load(path: Path) -> OperatorConfig:
@@ -102,7 +102,7 @@
     )
 
 
-def _records(table: dict[str, Any] | None, folder: Path) -> Keep | None:
+def _records(table: dict[str, Any] | None, folder: Path) -> RecordSettings | None:
     if table is None:
         return None
     check_keys(table, "records", "folder", "file_mb", "files")
@@ -111,7 +111,7 @@
         raise BadConfig("records: file_mb must be a number from 0.01 to 1024")
     if isinstance(files, bool) or not isinstance(files, int) or not 1 <= files <= 10_000:
         raise BadConfig("records: files must be an integer from 1 to 10000")
-    return Keep(folder / table["folder"], float(file_mb), files)
+    return RecordSettings(folder / table["folder"], float(file_mb), files)
 
 
 def _seconds(table: dict[str, Any], name: str, default: float, most: float = 1e9) -> float:
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -357,14 +357,14 @@
             self.recorder = Recorder(self.config.name, self.decisions.settings.zone, self.operator.records)
         except OSError as problem:
             raise config.BadConfig(f"operator's file: records: {problem.strerror or problem}") from problem
-        attach(self.recorder.tally, self.exchange, self.discovery, self.decisions)
+        attach(self.recorder.collector, self.exchange, self.discovery, self.decisions)
 
     def record(self, kind: str, cause: str, value: float = 0.0) -> None:
         """Adds one record, if records are kept."""
         if self.recorder is not None:
             from onyxpulley.incident.records import Kind
 
-            self.recorder.tally.event(Kind(kind), cause=cause, value=value)
+            self.recorder.collector.add_event(Kind(kind), cause=cause, value=value)
 
     def _start_identities(self, operator: OperatorConfig) -> None:
         """Loads the router's own identity and those it trusts. Raises InvalidIdentity."""
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from onyxpulley.incident.load import case_of
 from onyxpulley.incident.merge import Gap
+from onyxpulley.incident.record_set import load_record_set
 from onyxpulley.incident.records import Kind, Record
 from soak.clients import ClientConnection
 from soak.rules import Violation
@@ -287,8 +287,8 @@
             assert not stage.verdict()
 
     asyncio.run(main())
-    (run,) = case_of([folder]).runs
-    rows = list(run.rows())
+    (run,) = load_record_set([folder]).runs
+    rows = list(run.records_and_gaps())
     assert not [row for row in rows if isinstance(row, Gap)]
     kinds = [row.kind for row in rows if isinstance(row, Record)]
     assert Kind.DROPPED not in kinds and kinds.count(Kind.ANSWER) > 5
@@ -313,4 +313,4 @@
             assert not stage.verdict() and "event=not_written" in stage.routers["n0"].log_text()
 
     asyncio.run(main())
-    assert max(run.origin.epoch for run in case_of([folder]).runs)
+    assert max(run.run_id.epoch for run in load_record_set([folder]).runs)
