--- a/onyxpulley/pending_requests.py
+++ b/onyxpulley/pending_requests.py
@@ -29,7 +29,7 @@
         self.late_checks = 0
         self.reissued = False  # the request was sent again because this attempt was late
         self.first_possible_run = False  # nothing of the request can have run before this attempt was sent
-        self.only_held = False  # asks only for copies that server and source hold
+        self.only_if_cached = False  # asks only for copies that server and source hold
         # the cold ones among server and source, whose allowance this attempt was counted against
         self.slow_start_recorded = [s for s in (server, source) if s and router.slow_start_factor(s) < 1.0]
 
@@ -51,4 +51,4 @@
         self.excluded_ids: set[str] = set()  # servers and sources that failed this request
         self.retried_same_server = False
         self.accepts_stale = False  # a stale copy within the grace time will do
-        self.only_held = False  # asks only for a copy that the cache holds
+        self.only_if_cached = False  # asks only for a copy that the cache holds
--- a/onyxpulley/router.py
+++ b/onyxpulley/router.py
@@ -727,7 +727,7 @@
         cls = pending.cls
         is_cache = server.role == "cache"
         source: Server | None = server
-        if is_cache and not pending.only_held:
+        if is_cache and not pending.only_if_cached:
             source = self.choose_source(pending, server.miss_rate, server)
         work = self.estimated_work(request)
         attempt = Attempt(self, pending, server, source if source is not server else None)
@@ -751,22 +751,28 @@
         for party in (server, attempt.source):
             if party is not None and party.ejected_until:
                 party.probe_in_flight = True
-        source_id = source.id if source is not None else server.id
         timeout = pending.deadline - self.now
         if cls.uncached and server.role != "cache":
             self.actions.append(api.Forward(request.id, server.id, timeout))
         else:
+            attempt.only_if_cached = source is None or not (
+                cls.uncached or self.may_fill_from_origin(source, pending, work)
+            )
             # a copy of an object that was requested before ranks above one that was requested only once
             rank = 0 if not is_cache or cls.uncached else 2 if request.object in self.object_load else 1
-            renew = cls.freshness_lifetime > 0 and is_cache
-            max_age = self.max_age(pending)
-            join = self.settings.may_join
-            attempt.only_held = source is None or not (
-                cls.uncached or self.may_fill_from_origin(source, pending, work)
+            self.actions.append(
+                api.Fetch(
+                    id=request.id,
+                    server=server.id,
+                    timeout=timeout,
+                    source=source.id if source is not None else server.id,
+                    retention_rank=rank,
+                    max_age=self.max_age(pending),
+                    may_join=self.settings.may_join,
+                    only_if_cached=attempt.only_if_cached and source is not None,
+                    refresh_in_background=cls.freshness_lifetime > 0 and is_cache,
+                )
             )
-            held = attempt.only_held and source is not None
-            fields = (request.id, server.id, timeout, source_id, rank, max_age, join, held, renew)
-            self.actions.append(api.Fetch(*fields))
         late_after = LATE_FACTOR * attempt.expected_latency + LATE_FILL_FACTOR * self.fill_latency
         self.set_timer(attempt, int(late_after) + LATE_MARGIN)
 
@@ -948,23 +954,23 @@
         at_fault = outcome is not Outcome.NOT_CONNECTED and not plain_miss
         if not same_server and at_fault:
             pending.excluded_ids.add(source.id if no_fill and source is not None else server.id)
-        if outcome is Outcome.NEVER_SENT or pending.only_held or self.retry_budget < 1.0:
+        if outcome is Outcome.NEVER_SENT or pending.only_if_cached or self.retry_budget < 1.0:
             self.refuse_or_fail(pending)
             return
         from_origin = source is not None and source.role == "origin"
-        was_last_source = note == Note.ORIGIN_FAILED or attempt.only_held or from_origin
-        pending.only_held = (
+        was_last_source = note == Note.ORIGIN_FAILED or attempt.only_if_cached or from_origin
+        pending.only_if_cached = (
             no_fill
             and not pending.cls.uncached
             and (was_last_source or self.choose_source(pending, 1.0, server) is None)
         )
         stale_copy_ruled_out = pending.accepts_stale or not pending.cls.grace or server.role != "cache"
-        if pending.only_held and (stale_copy_ruled_out or not self.is_usable(server)):
+        if pending.only_if_cached and (stale_copy_ruled_out or not self.is_usable(server)):
             self.refuse_or_fail(pending)
             return
         self.retry_budget -= 1.0
         pending.accepts_stale = True
-        if pending.only_held:
+        if pending.only_if_cached:
             self.send(pending, server)
         else:
             self.start_attempt(pending)
