--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -15,11 +15,11 @@
 
 import click
 
-from soak.deployment import Listed, settings
-from soak.records import now
-from soak.servers import StandInServer
-from soak.stage import Stage, StageSetup
-from soak.traffic import TrafficShape
+from soak.cluster import Cluster, ClusterOptions
+from soak.deployment import ServerEntry, router_settings
+from soak.observations import now
+from soak.servers import FakeServer
+from soak.traffic import TrafficProfile
 
 BASE_CACHES, BASE_PARENTS = 196, 4
 FACTORS = (1, 4, 16)
@@ -41,19 +41,21 @@
     served: float
 
 
-class LargeStage(Stage):
+class LargeCluster(Cluster):
     """Thousands of servers, of which those of one kind share a stand-in; caches stand in `zones` zones."""
 
     zones = 1
 
     async def add_server(self, uid: str, zone: str, model: str) -> None:
         if model not in self.servers:
-            server = self.servers[model] = StandInServer(
-                model, self.evidence, self.luck, self.setup.mean_time
+            server = self.servers[model] = FakeServer(
+                model, self.observations, self.rng, self.options.mean_service_time
             )
             self.endpoints[model] = await server.start()
         other = int(uid[1:]) % self.zones if uid[0] == "c" else 0
-        self.listed[uid] = Listed(uid, self.endpoints[model], f"edge-{1 + other}" if other else zone, model)
+        self.entries[uid] = ServerEntry(
+            uid, self.endpoints[model], f"edge-{1 + other}" if other else zone, model
+        )
 
 
 def cpu_seconds(pid: int) -> float:
@@ -68,48 +70,48 @@
     return 0.0
 
 
-async def replace_caches(stage: Stage, count: int, seconds: float) -> float:
+async def replace_caches(cluster: Cluster, count: int, seconds: float) -> float:
     """One after another drains and another one comes. Gives the KB of the events."""
-    before = len(stage.discovery.events)
-    uids = [uid for uid in stage.listed if uid[0] == "c"][:count]
+    before = len(cluster.discovery.events)
+    uids = [uid for uid in cluster.entries if uid[0] == "c"][:count]
     for uid in uids:
-        old = stage.listed[uid]
-        stage.discovery.list_servers([replace(old, state="Terminating")])
-        stage.discovery.list_servers([replace(old, uid=f"{uid}x", boot_ms=0)])
+        old = cluster.entries[uid]
+        cluster.discovery.publish_servers([replace(old, state="Terminating")])
+        cluster.discovery.publish_servers([replace(old, uid=f"{uid}x", boot_ms=0)])
         await asyncio.sleep(seconds / count)
-    return sum(len(str(event)) for event in stage.discovery.events[before:]) / 1024
+    return sum(len(str(event)) for event in cluster.discovery.events[before:]) / 1024
 
 
 async def measure(factor: int, seconds: float, zones: int, folder: Path) -> Needs:
-    setup = StageSetup(
+    options = ClusterOptions(
         routers=1,
         caches=BASE_CACHES * factor,
         parents=BASE_PARENTS * factor,
-        shape=TrafficShape(rate=RATE, objects=OBJECTS, hurried=0.0),
+        traffic_profile=TrafficProfile(requests_per_s=RATE, objects=OBJECTS, short_timeout_share=0.0),
     )
-    stage = LargeStage(folder, 1, setup)
-    stage.zones = zones
-    stage.settings = settings(factor, setup.classes)
-    async with stage:
-        stage.start_traffic()
-        process = stage.routers["n0"].process
+    cluster = LargeCluster(folder, 1, options)
+    cluster.zones = zones
+    cluster.settings = router_settings(factor, options.classes)
+    async with cluster:
+        cluster.start_traffic()
+        process = cluster.routers["n0"].process
         assert process is not None
         began, descriptors = cpu_seconds(process.pid), 0
-        releases = asyncio.create_task(replace_caches(stage, BASE_CACHES * factor // 10, seconds))
+        releases = asyncio.create_task(replace_caches(cluster, BASE_CACHES * factor // 10, seconds))
         end = now() + seconds
         while now() < end:
             descriptors = max(descriptors, len(os.listdir(f"/proc/{process.pid}/fd")))
             await asyncio.sleep(0.2)
         lists = await releases
-        await stage.settle()
-        records = stage.evidence.requests.values()
-        served = sum(bool(r.replies) and r.replies[0].word == "good" for r in records)
+        await cluster.wait_for_open_requests()
+        records = cluster.observations.requests.values()
+        served = sum(bool(r.replies) and r.replies[0].verdict == "good" for r in records)
         return Needs(
-            len(stage.listed),
+            len(cluster.entries),
             cpu_seconds(process.pid) - began,
             peak_memory(process.pid),
             descriptors,
-            sum(server.made for server in stage.servers.values()),
+            sum(server.accepted_connections for server in cluster.servers.values()),
             lists,
             served / max(1, len(records)),
         )
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak tool: the real program over loopback against stand-ins, under seeded faults."""
+"""Soak test: the real program on loopback against fake servers and clients, under seeded disturbances."""
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the stand-ins play: settings, servers and the JSON a router is started with."""
+"""The simulated deployment: request classes, servers, and the settings and configuration of a router."""
 
 from __future__ import annotations
 
@@ -15,25 +15,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. Seconds: `deadline`, the longest that a client of it waits, and `fresh`, for how
-    long a copy is good (0: until it is purged)."""
+    """A class of requests."""
 
     name: str
     effect: str
-    deadline: float
-    fresh: float = 0.0
+    deadline: float  # longest timeout of a client, seconds
+    freshness_lifetime: float = 0.0  # of a copy, seconds; 0: fresh until it is purged
     uncached: bool = False
 
 
 VIDEO = RequestClass("video-part", SAFE, 5.0)
-PAGE = RequestClass("page-file", SAFE, 3.0, fresh=2.0)
+PAGE = RequestClass("page-file", SAFE, 3.0, freshness_lifetime=2.0)
 JOB = RequestClass("convert-job", UNSAFE, 3.0, uncached=True)
 CLASSES = (VIDEO, PAGE, JOB)
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """One server as discovery lists it."""
+class ServerEntry:
+    """A server as discovery lists it."""
 
     uid: str
     endpoint: str
@@ -42,7 +41,8 @@
     state: str = "Ready"
     boot_ms: int = 0
 
-    def row(self) -> Json:
+    def to_json(self) -> Json:
+        """Returns the entry in the format of discovery events."""
         return {
             "uid": self.uid,
             "endpoint": self.endpoint,
@@ -55,8 +55,8 @@
         }
 
 
-def settings(routers: int, classes: Sequence[RequestClass] = CLASSES) -> Json:
-    """The settings object, in the words of the platform. Times in microseconds."""
+def router_settings(routers: int, classes: Sequence[RequestClass] = CLASSES) -> Json:
+    """Returns the settings object of one of `routers` routers. Its times are in microseconds."""
     return {
         "azs": ["hub", "edge-1"],
         "zone": "edge-1",
@@ -82,7 +82,7 @@
             "bypassAllowed": True,
             "canJoin": True,
             "noteLevel": "all",
-            "goodFor": [int(c.fresh * 1e6) for c in classes],
+            "goodFor": [int(c.freshness_lifetime * 1e6) for c in classes],
             "staleFor": [0 for _ in classes],
             "uncached": [c.uncached for c in classes],
             "clearedWithin": 6_000_000,
@@ -104,35 +104,37 @@
     }
 
 
-def roster_event(number: int, servers: Sequence[Listed], full: bool) -> Json:
-    rows = [server.row() for server in servers]
-    return {"no": number, "roster": {"rev": number, "all": full, "targets": rows}}
+def roster_event(number: int, servers: Sequence[ServerEntry], full: bool) -> Json:
+    """Returns a discovery event with these servers; `full` replaces the whole list."""
+    targets = [server.to_json() for server in servers]
+    return {"no": number, "roster": {"rev": number, "all": full, "targets": targets}}
 
 
 @dataclass(frozen=True, slots=True)
-class RouterSetup:
-    """What one router is told. `known`: the events of the start, numbered from 1."""
+class RouterOptions:
+    """What one router is started with."""
 
     name: str
     port: int
     console_port: int
-    discovery: str
-    known: Sequence[Json]
+    discovery_address: str
+    initial_events: Sequence[Json]  # numbered from 1
     settings: Json
     seed: int
     memory_mb: int = 96
     sockets: int = 512
 
-    def config(self) -> Json:
+    def configuration(self) -> Json:
+        """Returns the content of the configuration file."""
         return {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
             "console": f"127.0.0.1:{self.console_port}",
             "seed": f"{self.seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets},
-            "bulletin": self.discovery,
+            "bulletin": self.discovery_address,
             "flow_bytes_per_s": FLOW_BYTES_PER_S,
             "link_bytes_per_s": LINK_BYTES_PER_S,
-            "known": {"no": len(self.known), "items": list(self.known)},
+            "known": {"no": len(self.initial_events), "items": list(self.initial_events)},
             "settings": self.settings,
         }
--- a/soak/disturbances.py
+++ b/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""What can go wrong in a run: each disturbance takes its time and puts things right again at its end."""
+"""Disturbances of a run: each one causes a failure for a limited time and then ends it."""
 
 from __future__ import annotations
 
@@ -10,181 +10,192 @@
 from collections.abc import Awaitable, Callable
 
 from soak.clients import ClientConnection
-from soak.records import Evidence
-from soak.servers import Mode, StandInServer
+from soak.cluster import Cluster
+from soak.observations import Observations
+from soak.servers import FakeServer, ServerMode
 from soak.shim import ERRORS, Call, Fault
-from soak.stage import Stage
-from soak.traffic import item_of
+from soak.traffic import object_id
 
-Disturbance = Callable[[Stage, random.Random], Awaitable[str]]
+Disturbance = Callable[[Cluster, random.Random], Awaitable[str]]  # returns a description of what it did
 
 SOCKET_CALLS = (Call.SOCKET, Call.CONNECT, Call.ACCEPT, Call.RECV, Call.SEND, Call.CLOSE, Call.SETSOCKOPT)
-BAD_MESSAGES = (b"*9\r\n$1\r\n", b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$6\r\nSTA")
+MALFORMED_MESSAGES = (b"*9\r\n$1\r\n", b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$6\r\nSTA")
 CLOCK_STEPS = (-3600.0, -5.0, -0.7, 0.7, 5.0, 3600.0)  # seconds
 
 
-def _server(stage: Stage, luck: random.Random) -> StandInServer:
-    return luck.choice([s for uid, s in stage.servers.items() if stage.listed[uid].state == "Ready"])
+def _choose_ready_server(cluster: Cluster, rng: random.Random) -> FakeServer:
+    return rng.choice([s for uid, s in cluster.servers.items() if cluster.entries[uid].state == "Ready"])
 
 
-async def failing_calls(stage: Stage, luck: random.Random) -> str:
-    """One kind of call fails, or moves few bytes, at one router for a moment. Never each call with EINTR: the
-    interpreter makes such a call again by itself, without an end."""
-    name, call = luck.choice(sorted(stage.shims)), luck.choice((*SOCKET_CALLS, Call.LOG_WRITE, Call.OPEN))
-    short = call in (Call.RECV, Call.SEND) and luck.random() < 0.3
-    error = 0 if short else luck.choice(ERRORS[call])
-    port = stage.routers[name].setup.port
+async def failing_calls(cluster: Cluster, rng: random.Random) -> str:
+    """One kind of system call fails, or moves few bytes, at one router for a short time.
+
+    EINTR never hits every call: the interpreter repeats such a call without end.
+    """
+    name = rng.choice(sorted(cluster.shims))
+    call = rng.choice((*SOCKET_CALLS, Call.LOG_WRITE, Call.OPEN))
+    is_short = call in (Call.RECV, Call.SEND) and rng.random() < 0.3
+    error = 0 if is_short else rng.choice(ERRORS[call])
+    port = cluster.routers[name].options.port
     fault = Fault(
         call,
         error,
-        every=luck.choice((2, 5) if error == errno.EINTR else (1, 1, 2, 5)),
-        port=luck.choice((0, port, -port)) if call in (Call.RECV, Call.SEND, Call.CLOSE) else 0,
-        longest=luck.choice((3, 50, 2000)),
+        every=rng.choice((2, 5) if error == errno.EINTR else (1, 1, 2, 5)),
+        port=rng.choice((0, port, -port)) if call in (Call.RECV, Call.SEND, Call.CLOSE) else 0,
+        max_bytes=rng.choice((3, 50, 2000)),
     )
-    stage.shims[name].set(fault)
-    await asyncio.sleep(luck.uniform(0.05, 0.8))
-    return f"{name}: {fault}, struck {stage.shims[name].clear(call)} times"
+    cluster.shims[name].set(fault)
+    await asyncio.sleep(rng.uniform(0.05, 0.8))
+    return f"{name}: {fault}, {cluster.shims[name].clear(call)} hits"
 
 
-async def troubled_server(stage: Stage, luck: random.Random) -> str:
-    """A server hangs, fails, refuses, resets or spoils its answers for a while."""
-    server = _server(stage, luck)
-    mode = luck.choice([mode for mode in Mode if mode is not Mode.SERVING])
+async def misbehaving_server(cluster: Cluster, rng: random.Random) -> str:
+    """A server hangs, fails, refuses requests, resets connections or damages its answers for a while."""
+    server = _choose_ready_server(cluster, rng)
+    mode = rng.choice([mode for mode in ServerMode if mode is not ServerMode.SERVING])
     server.mode = mode
-    await asyncio.sleep(luck.uniform(0.3, 3.0))
-    server.mode = Mode.SERVING
+    await asyncio.sleep(rng.uniform(0.3, 3.0))
+    server.mode = ServerMode.SERVING
     return f"{server.uid} was {mode.value}"
 
 
-async def resets(stage: Stage, luck: random.Random) -> str:
-    """All connections of a server are reset under what is open on them."""
-    server = _server(stage, luck)
-    server.reset_all()
+async def reset_connections(cluster: Cluster, rng: random.Random) -> str:
+    """All connections of a server are reset, with the requests that are open on them."""
+    server = _choose_ready_server(cluster, rng)
+    server.reset_connections()
     return f"{server.uid} reset its connections"
 
 
-async def drain(stage: Stage, luck: random.Random) -> str:
-    """A cache drains, and is ready again later as a process that has just started."""
-    ready = [uid for uid, listed in stage.listed.items() if uid[0] == "c" and listed.state == "Ready"]
+async def drain_cache(cluster: Cluster, rng: random.Random) -> str:
+    """A cache drains, and later becomes ready again as a process that has just started."""
+    ready = [uid for uid, entry in cluster.entries.items() if uid[0] == "c" and entry.state == "Ready"]
     if len(ready) < 3:
         return "too few caches for another drain"
-    uid = luck.choice(ready)
-    stage.set_state(uid, "Terminating")
-    await asyncio.sleep(luck.uniform(1.0, 3.0))
-    stage.set_state(uid, "Ready")
-    return f"{uid} drained and came back"
-
-
-async def silent_discovery(stage: Stage, luck: random.Random) -> str:
-    """Discovery refuses every call for some seconds. Nothing changes meanwhile that routers must know."""
-    stage.discovery.down = True
-    stage.discovery.end_calls()
-    await asyncio.sleep(luck.uniform(0.5, 4.0))
-    stage.discovery.down = False
+    uid = rng.choice(ready)
+    cluster.set_server_state(uid, "Terminating")
+    await asyncio.sleep(rng.uniform(1.0, 3.0))
+    cluster.set_server_state(uid, "Ready")
+    return f"{uid} drained and became ready again"
+
+
+async def discovery_outage(cluster: Cluster, rng: random.Random) -> str:
+    """Discovery refuses connections for some seconds; this alone changes nothing that routers must know."""
+    cluster.discovery.is_down = True
+    cluster.discovery.close_connections()
+    await asyncio.sleep(rng.uniform(0.5, 4.0))
+    cluster.discovery.is_down = False
     return "discovery was down"
 
 
-async def purges(stage: Stage, luck: random.Random) -> str:
-    """Of objects that are asked for often."""
-    for _ in range(luck.randrange(1, 20)):
-        stage.discovery.purge(item_of(luck.randrange(30)))
+async def purge_objects(cluster: Cluster, rng: random.Random) -> str:
+    """Some of the most requested objects are purged."""
+    for _ in range(rng.randrange(1, 20)):
+        cluster.discovery.publish_purge(object_id(rng.randrange(30)))
         await asyncio.sleep(0.02)
     return "purges"
 
 
-async def reloads(stage: Stage, luck: random.Random) -> str:
-    """New configurations in quick succession."""
-    name = luck.choice(sorted(stage.routers))
-    for _ in range(luck.randrange(1, 5)):
-        stage.routers[name].reload()
-        await asyncio.sleep(luck.uniform(0.0, 0.2))
+async def reload_configuration(cluster: Cluster, rng: random.Random) -> str:
+    """A router reloads its configuration several times in quick succession."""
+    name = rng.choice(sorted(cluster.routers))
+    for _ in range(rng.randrange(1, 5)):
+        cluster.routers[name].reload()
+        await asyncio.sleep(rng.uniform(0.0, 0.2))
     return f"{name}: reloads"
 
 
-async def restart(stage: Stage, luck: random.Random) -> str:
-    """SIGTERM, sometimes twice or with SIGHUP behind it, clients that send to the end, and a new start."""
-    name = luck.choice(sorted(stage.routers))
-    async with stage.lock(name):
-        router = stage.routers[name]
-        extra = luck.choice(((), (signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM)))
+async def restart_router(cluster: Cluster, rng: random.Random) -> str:
+    """A router restarts after SIGTERM, sometimes followed by SIGHUP or a second SIGTERM.
+
+    Clients may keep sending until the process ends.
+    """
+    name = rng.choice(sorted(cluster.routers))
+    async with cluster.restart_lock(name):
+        router = cluster.routers[name]
+        extra_signals = rng.choice(((), (signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM)))
 
-        async def more_signals() -> None:
+        async def send_extra_signals() -> None:
             process = router.process
-            for number in extra:
-                await asyncio.sleep(luck.uniform(0.05, 1.0))
+            for number in extra_signals:
+                await asyncio.sleep(rng.uniform(0.05, 1.0))
                 if router.process is process:
-                    router.send(number)
+                    router.send_signal(number)
 
-        stage.background(more_signals())
-        took = await stage.restart(name, keep_sending=luck.random() < 0.7)
-    return f"{name}: ended {took:.2f} s after SIGTERM, {len(extra)} more signals"
+        cluster.run_in_background(send_extra_signals())
+        time_to_end = await cluster.restart(name, keep_sending=rng.random() < 0.7)
+    return f"{name}: ended {time_to_end:.2f} s after SIGTERM, {len(extra_signals)} more signals"
 
 
-async def kill(stage: Stage, luck: random.Random) -> str:
-    name = luck.choice(sorted(stage.routers))
-    async with stage.lock(name):
-        await stage.kill_and_restart(name)
+async def kill_router(cluster: Cluster, rng: random.Random) -> str:
+    """A router is killed without SIGTERM and started again."""
+    name = rng.choice(sorted(cluster.routers))
+    async with cluster.restart_lock(name):
+        await cluster.kill_and_restart(name)
     return f"{name}: killed and started"
 
 
-async def clock_step(stage: Stage, luck: random.Random) -> str:
-    """The wall clock of one router steps, and stays there."""
-    name, step = luck.choice(sorted(stage.shims)), luck.choice(CLOCK_STEPS)
-    stage.shims[name].step_clock(step)
-    await asyncio.sleep(luck.uniform(0.5, 2.0))
+async def clock_step(cluster: Cluster, rng: random.Random) -> str:
+    """The wall clock of one router steps and keeps its new offset."""
+    name = rng.choice(sorted(cluster.shims))
+    step = rng.choice(CLOCK_STEPS)
+    cluster.shims[name].step_clock(step)
+    await asyncio.sleep(rng.uniform(0.5, 2.0))
     return f"{name}: clock {step:+.1f} s"
 
 
-async def bad_clients(stage: Stage, luck: random.Random) -> str:
-    """Clients that send what is no message, half of one, or a request behind which they go at once."""
-    name = luck.choice(sorted(stage.routers))
-    port, evidence = stage.routers[name].setup.port, Evidence()
-    for _ in range(luck.randrange(1, 12)):
-        connection = ClientConnection(evidence, name, port)
+async def malformed_client_messages(cluster: Cluster, rng: random.Random) -> str:
+    """Clients send invalid or incomplete messages and disconnect."""
+    name = rng.choice(sorted(cluster.routers))
+    port = cluster.routers[name].options.port
+    observations = Observations()
+    for _ in range(rng.randrange(1, 12)):
+        connection = ClientConnection(observations, name, port)
         with contextlib.suppress(OSError):
             await connection.connect()
-            connection.writer.write(luck.choice(BAD_MESSAGES))
-            await asyncio.sleep(luck.uniform(0.0, 0.1))
-            connection.leave()
-    return f"{name}: bad clients"
+            connection.writer.write(rng.choice(MALFORMED_MESSAGES))
+            await asyncio.sleep(rng.uniform(0.0, 0.1))
+            connection.disconnect()
+    return f"{name}: malformed client messages"
 
 
-async def garbage_from_discovery(stage: Stage, luck: random.Random) -> str:
-    """Lines that are no events, on every call to discovery."""
+async def malformed_discovery_lines(cluster: Cluster, rng: random.Random) -> str:
+    """Discovery sends a line that is not an event on every connection."""
     lines = (b"{\n", b"no json\n", b'{"no":"x"}\n', b"\xff\xfe\n", b'{"no":99999999,"recall":{}}\n')
-    for writer in list(stage.discovery.calls):
-        writer.write(luck.choice(lines))
-    return "garbage from discovery"
+    for writer in list(cluster.discovery.connections):
+        writer.write(rng.choice(lines))
+    return "malformed lines from discovery"
 
 
-async def crowd(stage: Stage, luck: random.Random) -> str:
-    """Idle clients fill the descriptors of one router for a while."""
-    name = luck.choice(sorted(stage.routers))
-    router, evidence = stage.routers[name], Evidence()
+async def idle_clients(cluster: Cluster, rng: random.Random) -> str:
+    """Idle clients take half of one router's sockets for a while."""
+    name = rng.choice(sorted(cluster.routers))
+    router = cluster.routers[name]
+    observations = Observations()
     idle: list[ClientConnection] = []
-    for _ in range(router.setup.sockets // 2):
-        connection = ClientConnection(evidence, name, router.setup.port)
+    for _ in range(router.options.sockets // 2):
+        connection = ClientConnection(observations, name, router.options.port)
         with contextlib.suppress(OSError):
             await connection.connect()
             idle.append(connection)
-    await asyncio.sleep(luck.uniform(0.5, 2.0))
+    await asyncio.sleep(rng.uniform(0.5, 2.0))
     for connection in idle:
-        connection.leave()
+        connection.disconnect()
     return f"{name}: {len(idle)} idle clients"
 
 
+# The names are sorted before one is drawn, so a renamed disturbance changes what every seed does.
 DISTURBANCES: dict[str, Disturbance] = {
     "calls": failing_calls,
-    "server": troubled_server,
-    "resets": resets,
-    "drain": drain,
-    "discovery": silent_discovery,
-    "purges": purges,
-    "reloads": reloads,
-    "restart": restart,
-    "kill": kill,
+    "server": misbehaving_server,
+    "resets": reset_connections,
+    "drain": drain_cache,
+    "discovery": discovery_outage,
+    "purges": purge_objects,
+    "reloads": reload_configuration,
+    "restart": restart_router,
+    "kill": kill_router,
     "clock": clock_step,
-    "crowd": crowd,
-    "bad clients": bad_clients,
-    "garbage": garbage_from_discovery,
+    "crowd": idle_clients,
+    "bad clients": malformed_client_messages,
+    "garbage": malformed_discovery_lines,
 }
--- a/soak/report.py
+++ b/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of a soak: a line a seed, and the whole as JSON for tools."""
+"""Reports of a soak test: text, one line per seed, and JSON for tools."""
 
 from __future__ import annotations
 
@@ -9,30 +9,32 @@
 
 from soak.run import RunResult
 
-SHOWN = 3  # violations of a seed that are printed in full
+MAX_SHOWN_VIOLATIONS = 3  # per seed
 
 
-def lines_of(result: RunResult) -> list[str]:
-    """The verdict of a seed; where a rule is broken, the first violations and what was going on."""
+def format_result(result: RunResult) -> list[str]:
+    """Returns the summary of a run and, if a rule was broken, the first violations and all disturbances."""
     lines = [result.summary()]
     if result.violations:
-        lines += [f"  {violation}" for violation in result.violations[:SHOWN]]
+        lines += [f"  {violation}" for violation in result.violations[:MAX_SHOWN_VIOLATIONS]]
         lines += [f"  {event}" for event in result.events]
     return lines
 
 
-def totals(results: Sequence[RunResult]) -> str:
-    broken = Counter(v.rule.value for r in results for v in r.violations)
+def format_totals(results: Sequence[RunResult]) -> str:
+    """Returns the totals of all runs in one line."""
+    violations = Counter(v.rule.value for r in results for v in r.violations)
     seeds = [str(r.seed) for r in results if r.violations]
     requests = sum(r.requests for r in results)
     served = sum(r.served for r in results)
     if not seeds:
         return f"{len(results)} seeds, {requests} requests, {served} served: every rule kept"
-    rules = ", ".join(f"{rule}: {count}" for rule, count in sorted(broken.items()))
+    rules = ", ".join(f"{rule}: {count}" for rule, count in sorted(violations.items()))
     return f"{len(results)} seeds, {requests} requests, {served} served: {rules}; seeds {' '.join(seeds)}"
 
 
 def write_json(path: Path, results: Sequence[RunResult]) -> None:
+    """Writes all results as a JSON array. Raises OSError."""
     rows = [
         {
             "seed": r.seed,
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for caches, parents and the origin: the line protocol, with trouble on demand."""
+"""Fake caches, parents and origin: the servers' line protocol, with failures on demand."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 from enum import Enum
 
 from onyxpulley import fields
-from soak.records import Evidence, Forward, expected_body, now, unix_ms
+from soak.observations import Forward, Observations, expected_body, now, unix_ms
 
 READ_SIZE = 65_536
-LOAD_REPORT = "busy_reqs:{held};cpu_share:0.3"
-LITTLE_TIME = 0.1  # seconds
-SMALL_BODY, LARGE_BODY = 600, 120_000  # bytes of an object's part
-LARGE_SHARE = 8  # one object in so many is large
+LOAD_REPORT = "busy_reqs:{open_requests};cpu_share:0.3"
+SHORT_TIME_LEFT = 0.1  # seconds to the deadline under which a server in mode DROPPING drops a request
+SMALL_BODY = 600  # bytes of a part
+LARGE_BODY = 120_000  # bytes of a part
+LARGE_OBJECT_INTERVAL = 8  # one in this many objects is large
 
 
-class Mode(Enum):
-    """How a server treats what reaches it."""
+class ServerMode(Enum):
+    """How a server treats requests."""
 
-    SERVING = "serving"
+    SERVING = "serving"  # answers normally
     HANGING = "hanging"  # takes requests and never answers
-    FAILING = "failing"  # answers `failed` quickly
-    FULL = "full"  # refuses unseen
-    RESETTING = "resetting"  # resets the connection under requests that have begun
-    GARBLING = "garbling"  # now and then a line that is no answer
-    STOPPING = "stopping"  # answers that begin and never end
-    REPEATING = "repeating"  # a second answer some milliseconds later
-    LEAVING = "leaving"  # closes the connection behind each answer
-    DROPPING = "dropping"  # passes over requests that have little time left, without a word
+    FAILING = "failing"  # answers `failed`
+    FULL = "full"  # refuses requests without running them
+    RESETTING = "resetting"  # resets connections while requests run
+    CORRUPTING = "corrupting"  # sends invalid lines between answers
+    TRUNCATING = "truncating"  # stops in the middle of some answers
+    DUPLICATING = "duplicating"  # repeats each answer some milliseconds later
+    CLOSING = "closing"  # closes the connection after each answer
+    DROPPING = "dropping"  # never answers requests that have little time left
 
 
 def body_size(item: str) -> int:
-    return LARGE_BODY if int(item[:4], 16) % LARGE_SHARE == 0 else SMALL_BODY
+    """Returns the size of each part of an object, in bytes."""
+    return LARGE_BODY if int(item[:4], 16) % LARGE_OBJECT_INTERVAL == 0 else SMALL_BODY
 
 
 @dataclass(eq=False, slots=True)
@@ -43,35 +45,41 @@
     tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
 
 
-class StandInServer:
-    """One server on a port of its own. Answers take `mean_time` seconds in the mean."""
+class FakeServer:
+    """One server on its own port. Answers take `mean_service_time` seconds on average."""
 
-    def __init__(self, uid: str, evidence: Evidence, luck: random.Random, mean_time: float) -> None:
-        self.uid, self.evidence, self.luck, self.mean_time = uid, evidence, luck, mean_time
-        self.mode = Mode.SERVING
+    def __init__(
+        self, uid: str, observations: Observations, rng: random.Random, mean_service_time: float
+    ) -> None:
+        self.uid = uid
+        self.observations = observations
+        self.rng = rng
+        self.mean_service_time = mean_service_time
+        self.mode = ServerMode.SERVING
         self.connections: set[_Connection] = set()
         self.server: asyncio.Server | None = None
-        self.made = 0  # connections accepted so far
+        self.accepted_connections = 0
 
     async def start(self) -> str:
-        """Gives its endpoint."""
+        """Starts to listen and returns the endpoint."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=256)
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
+        """Stops listening and resets all connections."""
         if self.server is not None:
             self.server.close()
-        self.reset_all()
+        self.reset_connections()
 
-    def reset_all(self) -> None:
-        """Resets every connection under whatever is open on it."""
+    def reset_connections(self) -> None:
+        """Resets every connection, with the requests that are open on it."""
         for connection in list(self.connections):
             connection.writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = _Connection(writer)
         self.connections.add(connection)
-        self.made += 1
+        self.accepted_connections += 1
         try:
             while line := await reader.readuntil(b"\r\n"):
                 words = line.decode("ascii").split()
@@ -83,7 +91,7 @@
                 elif words[0] == "alive" and len(words) == 2:
                     writer.write(f"{words[1]} well - 0\r\n\r\n".encode())
                 else:
-                    self.evidence.notes.append(f"{self.uid}: not of the protocol: {line[:80]!r}")
+                    self.observations.protocol_errors.append(f"{self.uid}: unknown message: {line[:80]!r}")
                     return
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
@@ -94,18 +102,22 @@
             writer.close()
 
     def _fetch(self, connection: _Connection, words: list[str], body: bytes) -> None:
-        txn, row = words[1], fields.parse(words[2])
-        record = self.evidence.requests.get(txn)
+        txn = words[1]
+        request = fields.parse(words[2])
+        record = self.observations.requests.get(txn)
         if record is None or body[-2:] != b"\r\n":
-            self.evidence.notes.append(f"{self.uid}: a request that no client sent: {words}")
+            self.observations.protocol_errors.append(f"{self.uid}: request that no client sent: {words}")
             return
-        asked = (row.get("cls"), row.get("item"), row.get("chunk"))
-        if asked != (record.cls, record.item, str(record.part)):
-            self.evidence.notes.append(f"{self.uid}: {txn} does not ask for what its client asked: {asked}")
-        forward = Forward(now(), self.uid, int(row["limit"]) / 1000)
+        received = (request.get("cls"), request.get("item"), request.get("chunk"))
+        if received != (record.cls, record.item, str(record.part)):
+            self.observations.protocol_errors.append(
+                f"{self.uid}: {txn} differs from the client's request: {received}"
+            )
+        forward = Forward(now(), self.uid, int(request["limit"]) / 1000)
         record.forwards.append(forward)
-        if self.mode is Mode.RESETTING and self.luck.random() < 0.5:
-            forward.ran, forward.ended = True, "reset"
+        if self.mode is ServerMode.RESETTING and self.rng.random() < 0.5:
+            forward.ran = True
+            forward.outcome = "reset"
             connection.writer.transport.abort()
             return
         answer = self._answer(connection, txn, record.cls, record.item, record.part, forward)
@@ -119,45 +131,46 @@
     async def _answer(
         self, connection: _Connection, txn: str, cls: str, item: str, part: int, forward: Forward
     ) -> None:
-        held = len(connection.tasks)
-        meter = LOAD_REPORT.format(held=held)
+        open_requests = len(connection.tasks)
+        meter = LOAD_REPORT.format(open_requests=open_requests)
         try:
-            if self.mode is Mode.FULL:
-                forward.ended = "full"
+            if self.mode is ServerMode.FULL:
+                forward.outcome = "full"
                 self._write(connection, f"{txn} full meter={meter} 0\r\n\r\n".encode())
                 return
             forward.ran = True
-            if self.mode is Mode.HANGING:
+            if self.mode is ServerMode.HANGING:
                 await asyncio.Event().wait()
-            await asyncio.sleep(self.luck.uniform(0.3, 1.7) * self.mean_time)
-            if self.mode is Mode.FAILING:
-                forward.ended = "failed"
+            await asyncio.sleep(self.rng.uniform(0.3, 1.7) * self.mean_service_time)
+            if self.mode is ServerMode.FAILING:
+                forward.outcome = "failed"
                 self._write(connection, f"{txn} failed meter={meter} 0\r\n\r\n".encode())
                 return
-            if self.mode is Mode.DROPPING and forward.limit < LITTLE_TIME:
+            if self.mode is ServerMode.DROPPING and forward.time_left < SHORT_TIME_LEFT:
                 forward.ran = False
                 await asyncio.Event().wait()
             body = expected_body(cls, item, part, body_size(item))
-            stamp = unix_ms()
-            head = f"{txn} data version=t{stamp},stamp={stamp},tell=local,meter={meter} {len(body)}\r\n"
-            forward.ended = "data"
+            now_ms = unix_ms()
+            head = f"{txn} data version=t{now_ms},stamp={now_ms},tell=local,meter={meter} {len(body)}\r\n"
+            forward.outcome = "data"
             await self._write_data(connection, head.encode() + body + b"\r\n")
         except asyncio.CancelledError:
-            forward.ended = forward.ended or "aborted"
+            forward.outcome = forward.outcome or "aborted"
         finally:
             connection.tasks.pop(txn, None)
 
     async def _write_data(self, connection: _Connection, data: bytes) -> None:
-        if self.mode is Mode.GARBLING and self.luck.random() < 0.3:
+        """Writes an answer, damaged as the mode demands."""
+        if self.mode is ServerMode.CORRUPTING and self.rng.random() < 0.3:
             self._write(connection, b"\x00 no answer\r\n")
-        elif self.mode is Mode.STOPPING and self.luck.random() < 0.3:
+        elif self.mode is ServerMode.TRUNCATING and self.rng.random() < 0.3:
             self._write(connection, data[: len(data) // 2])
             return
         self._write(connection, data)
-        if self.mode is Mode.REPEATING:
-            await asyncio.sleep(self.luck.uniform(0.0, 0.02))
+        if self.mode is ServerMode.DUPLICATING:
+            await asyncio.sleep(self.rng.uniform(0.0, 0.02))
             self._write(connection, data)
-        elif self.mode is Mode.LEAVING:
+        elif self.mode is ServerMode.CLOSING:
             connection.writer.close()
 
     @staticmethod
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -1,7 +1,8 @@
 /* Fault injection for one process, loaded with LD_PRELOAD.
  *
- * The table is a file shared with the test, named by ONYXPULLEY_SHIM_TABLE. Each rule makes one kind of call fail,
- * or move fewer bytes, until its count is used up. Without a table every call passes. Layout: see soak/shim.py.
+ * ONYXPULLEY_SHIM_TABLE names a file that the process maps and the test changes. Each rule makes one kind of call
+ * fail, or move fewer bytes, until its count is used up. Without a table no call is affected. soak/shim.py writes
+ * the same layout.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -22,12 +23,14 @@
 enum call { SOCKET, CONNECT, ACCEPT, RECV, SEND, LOG_WRITE, FILE_WRITE, CLOSE, SETSOCKOPT, FSYNC, RENAME, CREATE, OPEN, CALLS };
 
 struct rule {
-    int32_t error;   /* errno that the call gives; 0: the call passes with at most `longest` bytes */
-    int32_t every;   /* each how many-th call; 1: all */
-    int32_t left;    /* how many more; 0: the rule is off */
-    int32_t port;    /* local port of the socket; negative: any but that one; 0: any */
-    int32_t longest; /* bytes of a short read or write */
-    int32_t seen, hits, spare;
+    int32_t error;   /* errno to set; 0: the call moves at most `max_bytes` bytes */
+    int32_t every;   /* one in this many calls is affected; 1: all */
+    int32_t remaining; /* calls still to be affected; negative: no limit; 0: the rule is off */
+    int32_t port;    /* local port of the socket; negative: all but this one; 0: all */
+    int32_t max_bytes; /* of a shortened read or write */
+    int32_t seen;      /* matching calls */
+    int32_t hits;      /* affected calls */
+    int32_t reserved;
 };
 
 struct table {
@@ -42,9 +45,9 @@
     int file = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
     if (file < 0)
         return;
-    void *at = mmap(NULL, sizeof(struct table), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-    table = at == MAP_FAILED ? NULL : at;
-    syscall(3, file); /* close(2), past the function below */
+    void *mapped = mmap(NULL, sizeof(struct table), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    table = mapped == MAP_FAILED ? NULL : mapped;
+    syscall(3, file); /* close(2), without the wrapper below */
 }
 
 static int local_port(int fd) {
@@ -57,51 +60,51 @@
     return 0;
 }
 
-/* The rule that takes this call, or NULL. */
-static struct rule *struck(enum call call, int fd) {
+/* Counts the call and returns the rule that affects it, or NULL. */
+static struct rule *match_rule(enum call call, int fd) {
     if (!table)
         return NULL;
     struct rule *rule = &table->rules[call];
-    if (!rule->left)
+    if (!rule->remaining)
         return NULL;
-    int saved = errno;
+    int saved_errno = errno;
     int matches = !rule->port || (rule->port > 0 ? local_port(fd) == rule->port : local_port(fd) != -rule->port);
-    errno = saved;
+    errno = saved_errno;
     if (!matches || ++rule->seen % (rule->every > 0 ? rule->every : 1))
         return NULL;
-    if (rule->left > 0)
-        rule->left--;
+    if (rule->remaining > 0)
+        rule->remaining--;
     rule->hits++;
     return rule;
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define FAIL_IF_STRUCK(call, fd)                \
+#define FAIL_IF_MATCHED(call, fd)                \
     do {                                        \
-        struct rule *rule = struck((call), (fd)); \
+        struct rule *rule = match_rule((call), (fd)); \
         if (rule && rule->error) {              \
             errno = rule->error;                \
             return -1;                          \
         }                                       \
     } while (0)
 
-/* As above for calls that move bytes: a rule without an error shortens them. */
+/* The same for calls that move bytes; a rule without an error reduces `length`. */
 #define FAIL_OR_SHORTEN(call, fd, length)       \
     do {                                        \
-        struct rule *rule = struck((call), (fd)); \
+        struct rule *rule = match_rule((call), (fd)); \
         if (rule && rule->error) {              \
             errno = rule->error;                \
             return -1;                          \
         }                                       \
-        if (rule && (length) > (size_t)rule->longest) \
-            (length) = rule->longest;           \
+        if (rule && (length) > (size_t)rule->max_bytes) \
+            (length) = rule->max_bytes;           \
     } while (0)
 
 int socket(int domain, int type, int protocol) {
     static int (*real)(int, int, int);
     if (!real)
         real = REAL(socket);
-    FAIL_IF_STRUCK(SOCKET, -1);
+    FAIL_IF_MATCHED(SOCKET, -1);
     return real(domain, type, protocol);
 }
 
@@ -109,16 +112,16 @@
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (!real)
         real = REAL(connect);
-    FAIL_IF_STRUCK(CONNECT, fd);
+    FAIL_IF_MATCHED(CONNECT, fd);
     return real(fd, address, length);
 }
 
-/* A connection that failed to be accepted with ECONNABORTED is gone from the queue; other errors leave it there. */
+/* On Linux, ECONNABORTED removes the connection from the queue, while other errors leave it there. */
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
     if (!real)
         real = REAL(accept4);
-    FAIL_IF_STRUCK(ACCEPT, fd);
+    FAIL_IF_MATCHED(ACCEPT, fd);
     return real(fd, address, length, flags);
 }
 
@@ -138,7 +141,7 @@
     return real(fd, data, length, flags);
 }
 
-static int is_file(int fd) {
+static int is_regular_file(int fd) {
     struct stat info;
     return fstat(fd, &info) == 0 && S_ISREG(info.st_mode);
 }
@@ -149,19 +152,19 @@
         real = REAL(write);
     if (fd == STDERR_FILENO)
         FAIL_OR_SHORTEN(LOG_WRITE, -1, length);
-    else if (table && table->rules[FILE_WRITE].left && is_file(fd))
+    else if (table && table->rules[FILE_WRITE].remaining && is_regular_file(fd))
         FAIL_OR_SHORTEN(FILE_WRITE, -1, length);
     return real(fd, data, length);
 }
 
-/* Linux frees the descriptor whatever close says. */
+/* Linux frees the descriptor even if close fails. */
 int close(int fd) {
     static int (*real)(int);
     if (!real)
         real = REAL(close);
     struct stat info;
-    int socket = table && table->rules[CLOSE].left && fstat(fd, &info) == 0 && S_ISSOCK(info.st_mode);
-    struct rule *rule = socket ? struck(CLOSE, fd) : NULL;
+    int is_socket = table && table->rules[CLOSE].remaining && fstat(fd, &info) == 0 && S_ISSOCK(info.st_mode);
+    struct rule *rule = is_socket ? match_rule(CLOSE, fd) : NULL;
     int result = real(fd);
     if (rule && rule->error) {
         errno = rule->error;
@@ -174,7 +177,7 @@
     static int (*real)(int, int, int, const void *, socklen_t);
     if (!real)
         real = REAL(setsockopt);
-    FAIL_IF_STRUCK(SETSOCKOPT, fd);
+    FAIL_IF_MATCHED(SETSOCKOPT, fd);
     return real(fd, level, name, value, length);
 }
 
@@ -182,7 +185,7 @@
     static int (*real)(int);
     if (!real)
         real = REAL(fsync);
-    FAIL_IF_STRUCK(FSYNC, -1);
+    FAIL_IF_MATCHED(FSYNC, -1);
     return real(fd);
 }
 
@@ -190,53 +193,53 @@
     static int (*real)(const char *, const char *);
     if (!real)
         real = REAL(rename);
-    FAIL_IF_STRUCK(RENAME, -1);
+    FAIL_IF_MATCHED(RENAME, -1);
     return real(from, to);
 }
 
-/* Of files that are there, only configurations: an interpreter that cannot read its own library never starts. */
+/* Only configurations among existing files: an interpreter that cannot read its own library never starts. */
 static int is_configuration(const char *path) {
     size_t length = strlen(path);
     return length > 5 && (!strcmp(path + length - 5, ".json") || !strcmp(path + length - 5, ".toml"));
 }
 
-static int opened(const char *path, int flags, mode_t mode) {
+static int open_file(const char *path, int flags, mode_t mode) {
     static int (*real)(const char *, int, ...);
     if (!real)
         real = REAL(open);
     if (flags & O_CREAT || is_configuration(path))
-        FAIL_IF_STRUCK(flags & O_CREAT ? CREATE : OPEN, -1);
+        FAIL_IF_MATCHED(flags & O_CREAT ? CREATE : OPEN, -1);
     return real(path, flags, mode);
 }
 
 int open(const char *path, int flags, ...) {
-    va_list more;
-    va_start(more, flags);
-    mode_t mode = flags & O_CREAT ? va_arg(more, mode_t) : 0;
-    va_end(more);
-    return opened(path, flags, mode);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
+    va_end(arguments);
+    return open_file(path, flags, mode);
 }
 
 int open64(const char *path, int flags, ...) {
-    va_list more;
-    va_start(more, flags);
-    mode_t mode = flags & O_CREAT ? va_arg(more, mode_t) : 0;
-    va_end(more);
-    return opened(path, flags, mode);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
+    va_end(arguments);
+    return open_file(path, flags, mode);
 }
 
-static void step(struct timespec *at) {
-    int64_t sum = (int64_t)at->tv_sec * 1000000000 + at->tv_nsec + table->clock_step;
-    at->tv_sec = sum / 1000000000;
-    at->tv_nsec = sum % 1000000000;
+static void add_clock_step(struct timespec *time) {
+    int64_t nanoseconds = (int64_t)time->tv_sec * 1000000000 + time->tv_nsec + table->clock_step;
+    time->tv_sec = nanoseconds / 1000000000;
+    time->tv_nsec = nanoseconds % 1000000000;
 }
 
-int clock_gettime(clockid_t clock, struct timespec *at) {
+int clock_gettime(clockid_t clock, struct timespec *time) {
     static int (*real)(clockid_t, struct timespec *);
     if (!real)
         real = REAL(clock_gettime);
-    int result = real(clock, at);
+    int result = real(clock, time);
     if (result == 0 && clock == CLOCK_REALTIME && table && table->clock_step)
-        step(at);
+        add_clock_step(time);
     return result;
 }
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -1,4 +1,4 @@
-"""Control of the fault-injection library: which system calls of one process fail, how, and how often."""
+"""Controls the fault-injection library (shim.c): which system calls of a process fail, how and how often."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 SOURCE = Path(__file__).with_name("shim.c")
 RULE = struct.Struct("=8i")  # one `struct rule` of the library
-HITS = 6  # place of the count of struck calls in a rule
-CLOCK = struct.Struct("=q")
+HITS_FIELD = 6  # index of the number of affected calls in a rule
+CLOCK_STEP = struct.Struct("=q")  # nanoseconds, after the rules
 UNLIMITED = -1
 
 
@@ -31,11 +31,11 @@
     SETSOCKOPT = 8
     FSYNC = 9
     RENAME = 10
-    CREATE = 11  # open of a file that is made by it
-    OPEN = 12  # open of a file that is there
+    CREATE = 11  # open with O_CREAT
+    OPEN = 12  # open of an existing configuration file
 
 
-# What Linux documents for each call and a program on sockets may meet while the connection itself is sound.
+# The errors documented by Linux for each call that do not mean that the connection itself has failed.
 ERRORS: dict[Call, tuple[int, ...]] = {
     Call.SOCKET: (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM),
     Call.CONNECT: (
@@ -61,23 +61,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One rule. `error` 0 shortens reads and writes to `longest` bytes. `port`: local port of the sockets
-    that are meant, negative for all but that one, 0 for all."""
+    """How one system call fails."""
 
     call: Call
-    error: int
-    every: int = 1
-    count: int = UNLIMITED
-    port: int = 0
-    longest: int = 0
+    error: int  # errno; 0 shortens reads and writes to `max_bytes` instead
+    every: int = 1  # one in this many calls is affected
+    count: int = UNLIMITED  # calls that are affected before the fault ends
+    port: int = 0  # local port of the affected sockets; negative: all but this one; 0: all
+    max_bytes: int = 0
 
     def __str__(self) -> str:
-        what = errno.errorcode[self.error] if self.error else f"at most {self.longest} bytes"
-        return f"{self.call.name.lower()} {what}, one of {self.every}"
+        effect = errno.errorcode[self.error] if self.error else f"at most {self.max_bytes} bytes"
+        return f"{self.call.name.lower()} {effect}, one of {self.every}"
 
 
 def build_library(folder: Path) -> Path:
-    """Compiles the library into `folder`. Raises CalledProcessError."""
+    """Compiles the library into a folder and returns its path. Raises CalledProcessError."""
     library = folder / "shim.so"
     command = ["cc", "-shared", "-fPIC", "-O2", "-o", str(library), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True, capture_output=True)
@@ -85,35 +84,39 @@
 
 
 class Shim:
-    """The rules of one process. Rules count from the moment they are set."""
-
-    def __init__(self, library: Path, table: Path) -> None:
-        self.library, self.path = library, table
-        size = RULE.size * len(Call) + CLOCK.size
-        table.write_bytes(bytes(size))
-        with table.open("r+b") as file:
+    """The faults of one process, in a table that it maps as shared memory. Changes take effect at once."""
+
+    def __init__(self, library: Path, table_path: Path) -> None:
+        self.library = library
+        self.table_path = table_path
+        size = RULE.size * len(Call) + CLOCK_STEP.size
+        table_path.write_bytes(bytes(size))
+        with table_path.open("r+b") as file:
             self.table = mmap.mmap(file.fileno(), size)
 
     def environment(self) -> dict[str, str]:
-        """The variables that load the library into a process."""
-        return {"LD_PRELOAD": str(self.library), "ONYXPULLEY_SHIM_TABLE": str(self.path)}
+        """Returns the environment variables that load the library into a process."""
+        return {"LD_PRELOAD": str(self.library), "ONYXPULLEY_SHIM_TABLE": str(self.table_path)}
 
     def set(self, fault: Fault) -> None:
-        rule = (fault.error, fault.every, fault.count, fault.port, fault.longest, 0, 0, 0)
+        """Starts a fault, in place of any other of the same call."""
+        rule = (fault.error, fault.every, fault.count, fault.port, fault.max_bytes, 0, 0, 0)
         RULE.pack_into(self.table, RULE.size * fault.call, *rule)
 
     def clear(self, call: Call) -> int:
-        """Takes the rule of one call away and gives how often it has struck."""
+        """Ends the fault of a call and returns how many calls it affected."""
         hits = self.hits(call)
         RULE.pack_into(self.table, RULE.size * call, *(0,) * 8)
         return hits
 
     def hits(self, call: Call) -> int:
-        return int(RULE.unpack_from(self.table, RULE.size * call)[HITS])
+        """Returns how many calls the present fault of a call has affected."""
+        return int(RULE.unpack_from(self.table, RULE.size * call)[HITS_FIELD])
 
     def step_clock(self, seconds: float) -> None:
-        """Moves the wall clock of the process by so much against the real one."""
-        CLOCK.pack_into(self.table, RULE.size * len(Call), int(seconds * 1e9))
+        """Sets the offset of the process's wall clock from the real one."""
+        CLOCK_STEP.pack_into(self.table, RULE.size * len(Call), int(seconds * 1e9))
 
     def close(self) -> None:
+        """Unmaps the table."""
         self.table.close()
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Seeded traffic: connections that stay open, requests of all classes, cancels and early leaves."""
+"""Seeded client traffic: persistent connections, requests of all classes, cancelled requests, disconnects."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 from soak.clients import ClientConnection
 from soak.deployment import RequestClass
-from soak.records import Evidence, RequestRecord
+from soak.observations import Observations, RequestRecord
 
-POLL = 0.05  # seconds between two looks at the connections
-RECONNECT = 0.1  # seconds between two tries to connect
+POLL_INTERVAL = 0.05  # seconds between two checks of the connections
+RECONNECT_INTERVAL = 0.1  # seconds between two attempts to connect
 
 
-def item_of(number: int) -> str:
-    """The object of that number; low numbers are asked for most."""
+def object_id(number: int) -> str:
+    """Returns the identifier of an object; objects with low numbers are requested most often."""
     return f"{(number * 0x9E3779B97F4A7C15) % 2**64:016x}"
 
 
 @dataclass(frozen=True, slots=True)
-class TrafficShape:
-    """What clients do. Rates are shares of the requests, but `rate`: requests a second at each router."""
+class TrafficProfile:
+    """What the clients of one router do. Shares are fractions of the requests."""
 
-    rate: float = 60.0
+    requests_per_s: float = 60.0
     connections: int = 6
-    cancels: float = 0.02
-    leaves: float = 0.004
-    slow_writers: float = 0.05
+    cancel_share: float = 0.02
+    disconnect_share: float = 0.004  # the client closes the connection while the request is open
+    slow_write_share: float = 0.05
     objects: int = 400
-    shortest_limit: float = 0.3  # part of the class's deadline that the shortest limit is
-    hurried: float = 0.02  # with very little time left
-    weights: tuple[float, ...] = (0.45, 0.45, 0.1)
+    min_timeout_share: float = 0.3  # the shortest usual timeout, as a fraction of the class's deadline
+    short_timeout_share: float = 0.02  # requests with a timeout of 1 to 80 ms
+    class_weights: tuple[float, ...] = (0.45, 0.45, 0.1)
 
 
 class RouterTraffic:
@@ -41,94 +41,108 @@
 
     def __init__(
         self,
-        evidence: Evidence,
+        observations: Observations,
         router: str,
         port: int,
         classes: Sequence[RequestClass],
-        shape: TrafficShape,
-        luck: random.Random,
+        profile: TrafficProfile,
+        rng: random.Random,
     ) -> None:
-        self.evidence, self.router, self.port = evidence, router, port
-        self.classes, self.shape, self.luck = classes, shape, luck
+        self.observations = observations
+        self.router = router
+        self.port = port
+        self.classes = classes
+        self.profile = profile
+        self.rng = rng
         self.connections: list[ClientConnection] = []
-        self.connecting = True  # new connections are made
-        self.sending = True
+        self.may_connect = True
+        self.may_send = True
         self.tasks: set[asyncio.Task[None]] = set()
-        self.sent = 0
+        self.requests_made = 0
 
     def start(self) -> None:
-        self._spawn(self._keep_connected())
-        self._spawn(self._requests())
+        """Starts to connect and to send requests."""
+        self._spawn(self._maintain_connections())
+        self._spawn(self._send_requests())
 
     def stop(self) -> None:
+        """Stops all tasks and closes all connections."""
         for task in self.tasks:
             task.cancel()
         for connection in self.connections:
-            connection.leave()
+            connection.disconnect()
 
-    def router_was_killed(self) -> None:
+    def mark_router_killed(self) -> None:
+        """Excuses the router from answering what is open on the present connections."""
         for connection in self.connections:
-            connection.router_was_killed()
+            connection.mark_router_killed()
 
-    def open_requests(self) -> int:
-        return sum(len(connection.open) for connection in self.connections)
+    def count_open_requests(self) -> int:
+        """Returns the number of requests that wait for an answer."""
+        return sum(len(connection.open_requests) for connection in self.connections)
 
     def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _keep_connected(self) -> None:
+    async def _maintain_connections(self) -> None:
         while True:
-            crossed = [r for c in self.connections if c.closed for r in c.crossed]
+            to_resend = [r for c in self.connections if c.closed for r in c.to_resend]
             self.connections = [c for c in self.connections if not c.closed]
-            while self.connecting and len(self.connections) < self.shape.connections:
-                connection = ClientConnection(self.evidence, self.router, self.port)
+            while self.may_connect and len(self.connections) < self.profile.connections:
+                connection = ClientConnection(self.observations, self.router, self.port)
                 try:
                     await connection.connect()
                 except OSError:
-                    await asyncio.sleep(RECONNECT)
+                    await asyncio.sleep(RECONNECT_INTERVAL)
                     break
                 self.connections.append(connection)
-            for record in crossed:
-                await self._send_again(record)
-            await asyncio.sleep(POLL)
-
-    async def _send_again(self, record: RequestRecord) -> None:
-        """A request that crossed the close of an idle connection goes out on a new one; where there is none
-        to be had, to another router."""
-        connection = ClientConnection(self.evidence, self.router, self.port)
+            for record in to_resend:
+                await self._resend(record)
+            await asyncio.sleep(POLL_INTERVAL)
+
+    async def _resend(self, record: RequestRecord) -> None:
+        """Sends a request that crossed the close of an idle connection on a new one.
+
+        If the router accepts no connection, a client would send the request to another router, so it is no
+        longer checked here.
+        """
+        connection = ClientConnection(self.observations, self.router, self.port)
         try:
             await connection.connect()
             self.connections.append(connection)
             await connection.send(record)
         except OSError:
-            self.evidence.requests.pop(record.txn, None)
+            self.observations.requests.pop(record.txn, None)
 
-    async def _requests(self) -> None:
+    async def _send_requests(self) -> None:
         while True:
-            await asyncio.sleep(self.luck.expovariate(self.shape.rate))
-            fit = [c for c in self.connections if c.has_room()]
-            if self.sending and fit:
-                self._spawn(self._one(self.luck.choice(fit)))
-
-    def new_record(self) -> RequestRecord:
-        self.sent += 1
-        cls = self.luck.choices(self.classes, self.shape.weights)[0]
-        number = int(self.shape.objects * self.luck.random() ** 2)
-        txn = f"{self.luck.getrandbits(64):016x}"
-        limit = cls.deadline * self.luck.uniform(self.shape.shortest_limit, 1.0)
-        if self.luck.random() < self.shape.hurried:
-            limit = self.luck.uniform(0.001, 0.08)
-        return RequestRecord(txn, cls.name, item_of(number), self.luck.randrange(4), limit, self.router)
-
-    async def _one(self, connection: ClientConnection) -> None:
-        record, chance = self.new_record(), self.luck.random()
-        pieces = 6 if self.luck.random() < self.shape.slow_writers else 1
+            await asyncio.sleep(self.rng.expovariate(self.profile.requests_per_s))
+            available = [c for c in self.connections if c.can_send()]
+            if self.may_send and available:
+                self._spawn(self._send_request(self.rng.choice(available)))
+
+    def new_request(self) -> RequestRecord:
+        """Draws a request; it is not sent yet."""
+        self.requests_made += 1
+        cls = self.rng.choices(self.classes, self.profile.class_weights)[0]
+        number = int(self.profile.objects * self.rng.random() ** 2)
+        txn = f"{self.rng.getrandbits(64):016x}"
+        timeout = cls.deadline * self.rng.uniform(self.profile.min_timeout_share, 1.0)
+        if self.rng.random() < self.profile.short_timeout_share:
+            timeout = self.rng.uniform(0.001, 0.08)
+        return RequestRecord(txn, cls.name, object_id(number), self.rng.randrange(4), timeout, self.router)
+
+    async def _send_request(self, connection: ClientConnection) -> None:
+        """Sends one request and, for some of them, cancels it or disconnects soon afterwards."""
+        record = self.new_request()
+        chance = self.rng.random()
+        pieces = 6 if self.rng.random() < self.profile.slow_write_share else 1
         with contextlib.suppress(OSError):
             await connection.send(record, pieces, 0.01)
-        if chance < self.shape.cancels + self.shape.leaves:
-            await asyncio.sleep(self.luck.uniform(0.0, 0.3))
-            tag = next((t for t, r in connection.open.items() if r is record), None)
+        if chance < self.profile.cancel_share + self.profile.disconnect_share:
+            await asyncio.sleep(self.rng.uniform(0.0, 0.3))
+            tag = next((t for t, r in connection.open_requests.items() if r is record), None)
             if tag is not None and not connection.closed:
-                connection.cancel(tag) if chance < self.shape.cancels else connection.leave()
+                connection.cancel(tag) if chance < self.profile.cancel_share else connection.disconnect()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,10 +10,10 @@
 
 from onyxpulley import clock
 from onyxpulley.clock import PlatformClock
+from soak.cluster import Cluster, ClusterOptions
 from soak.deployment import CLASSES
 from soak.disturbances import CLOCK_STEPS
-from soak.stage import Stage, StageSetup
-from soak.traffic import TrafficShape, item_of
+from soak.traffic import TrafficProfile, object_id
 
 HOUR_MS = 3_600_000
 NOW_MS = 1_800_000_000_000  # Unix time at which the test's monotonic clock is 0
@@ -68,20 +68,22 @@
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
 def test_a_step_of_the_wall_clock_breaks_no_rule(step: float, tmp_path: Path) -> None:
     async def main() -> None:
-        shape = TrafficShape(rate=120.0, objects=40)
-        async with Stage(tmp_path, 7, StageSetup(routers=1, shape=shape, classes=CLASSES)) as stage:
-            stage.start_traffic()
-            shim = stage.shims["n0"]
+        profile = TrafficProfile(requests_per_s=120.0, objects=40)
+        async with Cluster(
+            tmp_path, 7, ClusterOptions(routers=1, traffic_profile=profile, classes=CLASSES)
+        ) as cluster:
+            cluster.start_traffic()
+            shim = cluster.shims["n0"]
             for turn in range(4):
                 await asyncio.sleep(0.8)
                 shim.step_clock(step if turn % 2 == 0 else 0.0)
                 for number in range(10):
-                    stage.discovery.purge(item_of(number))
+                    cluster.discovery.publish_purge(object_id(number))
                 if turn == 2:
-                    await stage.restart("n0")
+                    await cluster.restart("n0")
             await asyncio.sleep(2.5)
-            await stage.settle()
-            violations = stage.verdict()
+            await cluster.wait_for_open_requests()
+            violations = cluster.find_violations()
             assert not violations, "\n".join(map(str, violations[:5]))
 
     asyncio.run(main())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,12 +15,12 @@
 from onyxpulley.incident.merge import Gap
 from onyxpulley.incident.records import Kind, Record
 from soak.clients import ClientConnection
+from soak.cluster import Cluster, ClusterOptions
 from soak.rules import Violation
-from soak.run import SHORT_CLASSES
-from soak.servers import Mode
+from soak.run import SHORT_DEADLINE_CLASSES
+from soak.servers import ServerMode
 from soak.shim import Call, Fault
-from soak.stage import Stage, StageSetup
-from soak.traffic import TrafficShape
+from soak.traffic import TrafficProfile
 
 SEED = 20261203
 BURST_S = 0.4  # how long calls fail at a time
@@ -28,59 +28,61 @@
 BURSTS = 5
 MIN_SERVED_SHARE = 0.5  # of the requests, as the operators' gate demands
 
-Disturbance = Callable[[Stage, int], None]
+Disturbance = Callable[[Cluster, int], None]
 
 
-def no_disturbance(stage: Stage, burst: int) -> None:
+def no_disturbance(cluster: Cluster, burst: int) -> None:
     """Does nothing: the calls fail without any other disturbance."""
 
 
-def cause_log_lines(stage: Stage, burst: int) -> None:
+def cause_log_lines(cluster: Cluster, burst: int) -> None:
     """Causes many log lines: requests of an unknown class beside open ones, reloads and failing servers."""
-    for number, server in enumerate(stage.servers.values()):
-        server.mode = Mode.FAILING if number % 3 == burst % 3 and server.uid != "o" else Mode.SERVING
-    for traffic in stage.traffic.values():
-        stage.routers[traffic.router].reload()
-        for connection in filter(ClientConnection.has_room, traffic.connections):
-            record = traffic.new_record()
+    for number, server in enumerate(cluster.servers.values()):
+        server.mode = (
+            ServerMode.FAILING if number % 3 == burst % 3 and server.uid != "o" else ServerMode.SERVING
+        )
+    for traffic in cluster.traffic.values():
+        cluster.routers[traffic.router].reload()
+        for connection in filter(ClientConnection.can_send, traffic.connections):
+            record = traffic.new_request()
             record.cls = "unknown"
-            stage.background(connection.send(record))
+            cluster.run_in_background(connection.send(record))
 
 
-def reset_server_connections(stage: Stage, burst: int) -> None:
+def reset_server_connections(cluster: Cluster, burst: int) -> None:
     """Resets every connection to a server while requests are open on it, so that new ones are made."""
-    for server in stage.servers.values():
-        server.reset_all()
+    for server in cluster.servers.values():
+        server.reset_connections()
 
 
-def reconnect_clients(stage: Stage, burst: int) -> None:
+def reconnect_clients(cluster: Cluster, burst: int) -> None:
     """Closes the connections of half of the clients, which then connect again."""
-    for traffic in stage.traffic.values():
+    for traffic in cluster.traffic.values():
         for connection in traffic.connections[::2]:
-            connection.leave()
+            connection.disconnect()
 
 
-async def run(stage: Stage, faults: list[Fault], disturbance: Disturbance) -> list[Violation]:
+async def run(cluster: Cluster, faults: list[Fault], disturbance: Disturbance) -> list[Violation]:
     """Sets the faults in bursts under traffic and returns the violated rules. Raises AssertionError if a
     fault never hit a call: such a run would show nothing."""
-    stage.start_traffic()
+    cluster.start_traffic()
     hits: Counter[Call] = Counter()
     await asyncio.sleep(0.5)
     for burst in range(BURSTS):
-        for shim in stage.shims.values():
+        for shim in cluster.shims.values():
             for fault in faults:
                 shim.set(fault)
-        disturbance(stage, burst)
+        disturbance(cluster, burst)
         await asyncio.sleep(BURST_S)
-        for shim in stage.shims.values():
+        for shim in cluster.shims.values():
             for fault in faults:
                 hits[fault.call] += shim.clear(fault.call)
         await asyncio.sleep(PAUSE_S)
-    for server in stage.servers.values():
-        server.mode = Mode.SERVING
-    await stage.settle()
+    for server in cluster.servers.values():
+        server.mode = ServerMode.SERVING
+    await cluster.wait_for_open_requests()
     assert all(hits[fault.call] for fault in faults), hits
-    return stage.verdict()
+    return cluster.find_violations()
 
 
 def play(
@@ -90,16 +92,16 @@
     are served. `client_side`: only the calls on connections of clients, at one router."""
 
     async def main() -> None:
-        setup = StageSetup(shape=TrafficShape(rate=80.0), routers=2)
-        async with Stage(folder, SEED, setup) as stage:
-            port = stage.routers["n0"].setup.port if client_side else 0
+        options = ClusterOptions(traffic_profile=TrafficProfile(requests_per_s=80.0), routers=2)
+        async with Cluster(folder, SEED, options) as cluster:
+            port = cluster.routers["n0"].options.port if client_side else 0
             if client_side:
-                del stage.shims["n1"]
-            port_faults = [Fault(f.call, f.error, f.every, f.count, port, f.longest) for f in faults]
-            violations = await run(stage, port_faults, disturbance)
+                del cluster.shims["n1"]
+            port_faults = [Fault(f.call, f.error, f.every, f.count, port, f.max_bytes) for f in faults]
+            violations = await run(cluster, port_faults, disturbance)
             assert not violations, "\n".join(map(str, violations[:5]))
-            records = [r for r in stage.evidence.requests.values() if r.replies]
-            served = sum(r.replies[0].word == "good" for r in records)
+            records = [r for r in cluster.observations.requests.values() if r.replies]
+            served = sum(r.replies[0].verdict == "good" for r in records)
             assert served >= MIN_SERVED_SHARE * len(records) > 100
 
     asyncio.run(main())
@@ -143,7 +145,7 @@
 
 # Guards against answers that are cut or sent twice when reads and writes move only a few bytes at a time.
 def test_no_answer_is_damaged_by_short_reads_and_writes(tmp_path: Path) -> None:
-    faults = [Fault(Call.RECV, 0, every=2, longest=7), Fault(Call.SEND, 0, every=2, longest=301)]
+    faults = [Fault(Call.RECV, 0, every=2, max_bytes=7), Fault(Call.SEND, 0, every=2, max_bytes=301)]
     play(tmp_path, faults)
 
 
@@ -165,22 +167,24 @@
 # Guards against resetting requests in the accept queue because one accept failed during the shutdown.
 def test_no_request_is_lost_while_accepting_fails_during_shutdown(tmp_path: Path) -> None:
     async def main() -> None:
-        setup = StageSetup(shape=TrafficShape(rate=80.0, connections=16), routers=1)
-        async with Stage(tmp_path, SEED, setup) as stage:
-            stage.start_traffic()
-            shim = stage.shims["n0"]
+        options = ClusterOptions(
+            traffic_profile=TrafficProfile(requests_per_s=80.0, connections=16), routers=1
+        )
+        async with Cluster(tmp_path, SEED, options) as cluster:
+            cluster.start_traffic()
+            shim = cluster.shims["n0"]
             for _ in range(3):
                 await asyncio.sleep(0.5)
                 shim.set(Fault(Call.ACCEPT, errno.ENFILE, every=2))
-                restart = asyncio.create_task(stage.restart("n0"))
+                restart = asyncio.create_task(cluster.restart("n0"))
                 for _ in range(4):
                     await asyncio.sleep(0.08)
-                    reconnect_clients(stage, 0)
+                    reconnect_clients(cluster, 0)
                 await asyncio.sleep(1.0)
                 assert shim.clear(Call.ACCEPT)
                 await restart
-            await stage.settle()
-            violations = stage.verdict()
+            await cluster.wait_for_open_requests()
+            violations = cluster.find_violations()
             assert not violations, "\n".join(map(str, violations[:5]))
 
     asyncio.run(main())
@@ -200,8 +204,8 @@
 # Guards against dropping a new configuration because its file could not be read for a moment.
 def test_a_new_configuration_is_applied_although_its_file_cannot_be_read_at_first(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Stage(tmp_path, SEED, StageSetup(routers=1)) as stage:
-            router, shim = stage.routers["n0"], stage.shims["n0"]
+        async with Cluster(tmp_path, SEED, ClusterOptions(routers=1)) as cluster:
+            router, shim = cluster.routers["n0"], cluster.shims["n0"]
             shim.set(Fault(Call.OPEN, errno.ENFILE))
             router.reload()
             await asyncio.sleep(0.5)
@@ -215,10 +219,10 @@
 # Guards against a router that exits at its start because no socket could be made just then.
 def test_a_router_starts_although_no_socket_can_be_made_at_first(tmp_path: Path) -> None:
     async def main() -> None:
-        async with Stage(tmp_path, SEED, StageSetup(routers=1)) as stage:
-            shim = stage.shims["n0"]
+        async with Cluster(tmp_path, SEED, ClusterOptions(routers=1)) as cluster:
+            shim = cluster.shims["n0"]
             shim.set(Fault(Call.SOCKET, errno.ENFILE))
-            starting = asyncio.create_task(stage.kill_and_restart("n0"))
+            starting = asyncio.create_task(cluster.kill_and_restart("n0"))
             while not shim.hits(Call.SOCKET):
                 await asyncio.sleep(0.02)
             await asyncio.sleep(1.0)
@@ -231,15 +235,17 @@
 # Guards against losing requests that arrive in the last moments before the exit, where deadlines are short.
 def test_clients_that_send_until_the_kill_lose_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        shape = TrafficShape(rate=200.0, connections=3, cancels=0.0, leaves=0.0)
-        setup = StageSetup(shape=shape, routers=1, classes=SHORT_CLASSES, mean_time=0.12)
-        async with Stage(tmp_path, SEED, setup) as stage:
-            stage.start_traffic()
+        profile = TrafficProfile(requests_per_s=200.0, connections=3, cancel_share=0.0, disconnect_share=0.0)
+        options = ClusterOptions(
+            traffic_profile=profile, routers=1, classes=SHORT_DEADLINE_CLASSES, mean_service_time=0.12
+        )
+        async with Cluster(tmp_path, SEED, options) as cluster:
+            cluster.start_traffic()
             for _ in range(4):
                 await asyncio.sleep(0.4)
-                assert await stage.restart("n0") < stage.earliest_kill()
-            await stage.settle()
-            violations = stage.verdict()
+                assert await cluster.restart("n0") < cluster.kill_delay()
+            await cluster.wait_for_open_requests()
+            violations = cluster.find_violations()
             assert not violations, "\n".join(map(str, violations[:5]))
 
     asyncio.run(main())
@@ -249,13 +255,13 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 def test_repeated_signals_do_not_disturb_a_clean_exit(number: signal.Signals, tmp_path: Path) -> None:
     async def main() -> None:
-        async with Stage(tmp_path, SEED, StageSetup(routers=1)) as stage:
-            router = stage.routers["n0"]
+        async with Cluster(tmp_path, SEED, ClusterOptions(routers=1)) as cluster:
+            router = cluster.routers["n0"]
             router.terminate()
             for _ in range(2000):
-                router.send(number)
+                router.send_signal(number)
                 await asyncio.sleep(0.002)
-                if not router.running():
+                if not router.is_running():
                     break
             assert await router.wait(1.0) == 0
 
@@ -270,9 +276,11 @@
 
     async def main() -> None:
         environment = {"ONYXPULLEY_OPERATOR": str(operator)}
-        async with Stage(tmp_path, SEED, StageSetup(routers=1, extra_environment=environment)) as stage:
-            stage.start_traffic()
-            shim, hits = stage.shims["n0"], 0
+        async with Cluster(
+            tmp_path, SEED, ClusterOptions(routers=1, extra_environment=environment)
+        ) as cluster:
+            cluster.start_traffic()
+            shim, hits = cluster.shims["n0"], 0
             for _ in range(3):
                 await asyncio.sleep(1.2)
                 shim.set(Fault(call, errno.ENOSPC))
@@ -280,11 +288,11 @@
                 hits += shim.clear(call)
             assert hits
             await asyncio.sleep(1.5)
-            await stage.settle()
-            router = stage.routers["n0"]
+            await cluster.wait_for_open_requests()
+            router = cluster.routers["n0"]
             router.terminate()
             assert await router.wait(5.0) == 0
-            assert not stage.verdict()
+            assert not cluster.find_violations()
 
     asyncio.run(main())
     (run,) = case_of([folder]).runs
@@ -301,16 +309,18 @@
 
     async def main() -> None:
         environment = {"ONYXPULLEY_OPERATOR": str(operator)}
-        async with Stage(tmp_path, SEED, StageSetup(routers=1, extra_environment=environment)) as stage:
-            shim = stage.shims["n0"]
+        async with Cluster(
+            tmp_path, SEED, ClusterOptions(routers=1, extra_environment=environment)
+        ) as cluster:
+            shim = cluster.shims["n0"]
             shim.set(Fault(Call.CREATE, errno.ENOSPC))
-            await stage.kill_and_restart("n0")
-            stage.start_traffic()
+            await cluster.kill_and_restart("n0")
+            cluster.start_traffic()
             await asyncio.sleep(1.5)
             assert shim.clear(Call.CREATE)
             await asyncio.sleep(2.0)
-            await stage.settle()
-            assert not stage.verdict() and "event=not_written" in stage.routers["n0"].log_text()
+            await cluster.wait_for_open_requests()
+            assert not cluster.find_violations() and "event=not_written" in cluster.routers["n0"].log_text()
 
     asyncio.run(main())
     assert max(run.origin.epoch for run in case_of([folder]).runs)
