--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements of what a router needs, beside the program."""
--- a/benchmarks/identities.py
+++ b/benchmarks/identities.py
@@ -1,5 +1,5 @@
-"""What verified connections to servers cost over plain ones: time of a new connection, of a request on an
-open one, and memory. On loopback, bounded, ends by itself:
+"""Compares verified connections to servers with plain ones: the time of a new connection, the time of a
+request on an open one, and memory. Runs on loopback; the numbers of connections and requests are limited:
 
     python -m benchmarks.identities [--connections 200] [--requests 2000]
 """
@@ -27,14 +27,19 @@
 from onyxpulley.spiffe.settings import IdentitySettings
 from tests.issuer import Authority
 
-ASK = b"fetch 9b1f03aa5c7e2d41 cls=page-file,item=7f3a9c21e0b4d655,chunk=0,limit=2000,fetch=p0 0\r\n\r\n"
+FETCH_REQUEST = (
+    b"fetch 9b1f03aa5c7e2d41 cls=page-file,item=7f3a9c21e0b4d655,chunk=0,limit=2000,fetch=p0 0\r\n\r\n"
+)
 ANSWER = b"9b1f03aa5c7e2d41 data version=aa 40000\r\n" + b"x" * 40_000 + b"\r\n"
 
 
-def box(pipe: Connection, folder: str, plain: bool) -> None:
-    """A stand-in box in a process of its own: answers every request with 40 KB."""
+def run_server(pipe: Connection, folder: str, plain: bool) -> None:
+    """Runs a fake server that answers every request with 40 KB.
 
-    async def client(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    Sends its port through the pipe and ends when the pipe receives something.
+    """
+
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while await reader.readuntil(b"\r\n\r\n"):
                 writer.write(ANSWER)
@@ -49,106 +54,133 @@
             context.load_cert_chain(f"{folder}/box.pem", f"{folder}/box.key")
             context.load_verify_locations(f"{folder}/bundle.pem")
             context.verify_mode = ssl.CERT_REQUIRED
-        server = await asyncio.start_server(client, "127.0.0.1", 0, ssl=context)
+        server = await asyncio.start_server(serve_connection, "127.0.0.1", 0, ssl=context)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
 
     asyncio.run(main())
 
 
-async def opened(trust: TransportSecurity, port: int) -> ServerStream:
+async def connect(security: TransportSecurity, port: int) -> ServerStream:
+    """Opens a connection to the fake server."""
     sock = socket.socket()
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", port))
-    return await trust.secure("c0", sock)
+    return await security.secure("c0", sock)
 
 
-async def ask(wire: ServerStream, room: memoryview) -> None:
-    await wire.send_all(ASK)
-    left = len(ANSWER)
-    while left:
-        left -= await wire.receive_into(room)
+async def fetch(stream: ServerStream, buffer: memoryview) -> None:
+    """Sends one request and reads the whole answer."""
+    await stream.send_all(FETCH_REQUEST)
+    remaining = len(ANSWER)
+    while remaining:
+        remaining -= await stream.receive_into(buffer)
 
 
-def resident() -> int:
+def resident_bytes() -> int:
+    """Returns the resident memory of this process, from /proc; assumes pages of 4 KiB."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * 4096
 
 
 async def measure(
-    trust: TransportSecurity, port: int, connections: int, requests: int, keep: bool
+    security: TransportSecurity, port: int, connections: int, requests: int, keep_sessions: bool
 ) -> dict[str, float]:
-    """`keep` the sessions of closed connections, or forget them: a full handshake each time."""
-    room, wall, cpu = memoryview(bytearray(65_536)), list[float](), list[float]()
-    wire = await opened(trust, port)
-    await ask(wire, room)
-    wire.close()
+    """Returns the measured figures by name.
+
+    `keep_sessions`: resume the TLS sessions of closed connections; otherwise each handshake is a full one.
+    """
+    buffer = memoryview(bytearray(65_536))
+    connect_times: list[float] = []
+    connect_cpu_times: list[float] = []
+    stream = await connect(security, port)
+    await fetch(stream, buffer)
+    stream.close()
     for _ in range(connections):
-        if isinstance(trust, IdentityManager) and not keep:
-            trust.sessions.clear()
-        at, used = time.perf_counter(), time.process_time()
-        wire = await opened(trust, port)
-        wall.append(time.perf_counter() - at)
-        cpu.append(time.process_time() - used)
-        await ask(wire, room)
-        wire.close()
-    wire = await opened(trust, port)
-    used = time.process_time()
+        if isinstance(security, IdentityManager) and not keep_sessions:
+            security.sessions.clear()
+        started = time.perf_counter()
+        cpu_started = time.process_time()
+        stream = await connect(security, port)
+        connect_times.append(time.perf_counter() - started)
+        connect_cpu_times.append(time.process_time() - cpu_started)
+        await fetch(stream, buffer)
+        stream.close()
+    stream = await connect(security, port)
+    cpu_started = time.process_time()
     for _ in range(requests):
-        assert not isinstance(wire, VerifiedServerStream) or wire.accepts_requests()
-        await ask(wire, room)
-    each = (time.process_time() - used) / requests
-    wire.close()
+        assert not isinstance(stream, VerifiedServerStream) or stream.accepts_requests()
+        await fetch(stream, buffer)
+    cpu_per_request = (time.process_time() - cpu_started) / requests
+    stream.close()
     gc.collect()
-    before = resident()
-    held = [await opened(trust, port) for _ in range(connections)]
-    for wire in held:
-        await ask(wire, room)
+    memory_before = resident_bytes()
+    streams = [await connect(security, port) for _ in range(connections)]
+    for stream in streams:
+        await fetch(stream, buffer)
     gc.collect()
-    memory = (resident() - before) / connections
-    for wire in held:
-        wire.close()
+    memory_per_connection = (resident_bytes() - memory_before) / connections
+    for stream in streams:
+        stream.close()
     return {
-        "new, median us": 1e6 * statistics.median(wall),
-        "new, p99 us": 1e6 * sorted(wall)[int(0.99 * len(wall))],
-        "new, cpu us": 1e6 * statistics.mean(cpu),
-        "request of 40 KB, cpu us": 1e6 * each,
-        "memory a connection, KB": memory / 1000,
+        "new, median us": 1e6 * statistics.median(connect_times),
+        "new, p99 us": 1e6 * sorted(connect_times)[int(0.99 * len(connect_times))],
+        "new, cpu us": 1e6 * statistics.mean(connect_cpu_times),
+        "request of 40 KB, cpu us": 1e6 * cpu_per_request,
+        "memory a connection, KB": memory_per_connection / 1000,
     }
 
 
 def main() -> None:
+    """Measures plain connections, full handshakes and resumed sessions, and prints a table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--connections", type=int, default=200)
     parser.add_argument("--requests", type=int, default=2000)
     options = parser.parse_args()
-    with tempfile.TemporaryDirectory() as name:
-        folder, domain = Path(name), Authority()
-        domain.write_svid(folder, "router", "spiffe://letra.example/router")
-        domain.write_svid(folder, "box", "spiffe://letra.example/box/c0")
-        domain.write_bundle(folder / "bundle.pem")
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
+        authority = Authority()
+        authority.write_svid(folder, "router", "spiffe://letra.example/router")
+        authority.write_svid(folder, "box", "spiffe://letra.example/box/c0")
+        authority.write_bundle(folder / "bundle.pem")
         files = IdentityFiles(
-            folder / "router.pem", folder / "router.key", folder / "bundle.pem", domain.name
+            folder / "router.pem", folder / "router.key", folder / "bundle.pem", authority.name
         )
-        setup = IdentitySettings(
-            domain.name, files, "", True, "spiffe://letra.example/box/{id}", None, ConnectionLifetime(), None
+        settings = IdentitySettings(
+            authority.name,
+            files,
+            "",
+            True,
+            "spiffe://letra.example/box/{id}",
+            None,
+            ConnectionLifetime(),
+            None,
         )
-        rows: dict[str, dict[str, float]] = {}
-        for what, plain, keep in (("plain", True, True), ("full", False, False), ("resumed", False, True)):
-            trust: TransportSecurity = PlainTransport() if plain else IdentityManager(setup)
-            ours, theirs = multiprocessing.Pipe()
-            process = multiprocessing.Process(target=box, args=(theirs, name, plain), daemon=True)
+        results: dict[str, dict[str, float]] = {}
+        for title, plain, keep_sessions in (
+            ("plain", True, True),
+            ("full", False, False),
+            ("resumed", False, True),
+        ):
+            security: TransportSecurity = PlainTransport() if plain else IdentityManager(settings)
+            pipe, server_pipe = multiprocessing.Pipe()
+            process = multiprocessing.Process(
+                target=run_server, args=(server_pipe, folder_name, plain), daemon=True
+            )
             process.start()
-            port = ours.recv()
-            sizes = (min(1000, options.connections), min(100_000, options.requests))
-            rows[what] = uvloop.run(measure(trust, port, *sizes, keep))
-            if isinstance(trust, IdentityManager):
-                rows[what] |= {f"handshakes {kind}": float(n) for kind, n in trust.handshakes.items()}
-            ours.send(None)
+            port = pipe.recv()
+            counts = (min(1000, options.connections), min(100_000, options.requests))
+            results[title] = uvloop.run(measure(security, port, *counts, keep_sessions))
+            if isinstance(security, IdentityManager):
+                results[title] |= {
+                    f"handshakes {kind}": float(count) for kind, count in security.handshakes.items()
+                }
+            pipe.send(None)
             process.join(5)
-    for key in dict.fromkeys(key for row in rows.values() for key in row):
-        print(f"{key:28}" + "".join(f"{what}: {row.get(key, 0):9.0f}   " for what, row in rows.items()))
+    for name in dict.fromkeys(name for figures in results.values() for name in figures):
+        columns = [f"{title}: {figures.get(name, 0):9.0f}   " for title, figures in results.items()]
+        print(f"{name:28}" + "".join(columns))
 
 
 if __name__ == "__main__":
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -1,4 +1,5 @@
-"""What the recorder costs: processor time and bytes a request, with and without it, at some rates. Bounded:
+"""Measures what the recorder costs at several rates: CPU time for each request with and without it, and the
+size of the records. The length of a run is limited:
 
 python -m benchmarks.records [--seconds 60]
 """
@@ -23,8 +24,8 @@
 SERVERS = 40
 
 
-class Decider:
-    """Sends each request to one of some servers, at once."""
+class FixedPolicy:
+    """Sends each request at once to a server chosen by its id; takes no other decision."""
 
     def route(self, request: Request) -> Sequence[Command]:
         server = f"s-{int(request.txn, 16) % SERVERS:08x}"
@@ -56,7 +57,9 @@
         return 0
 
 
-class Carrier:
+class FakeTransport:
+    """Keeps the attempts that were sent, for the benchmark to finish."""
+
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
 
@@ -67,51 +70,69 @@
         pass
 
 
-class Bounds:
-    most_open, bodies = 10**9, 10**9
+class NoLimits:
+    """Limits that no run reaches."""
+
+    most_open = 10**9
+    bodies = 10**9
 
 
-def answered(answer: Answer) -> None:
+def ignore_answer(answer: Answer) -> None:
     pass
 
 
-async def play(rate: int, seconds: int, recorder: Recorder | None) -> float:
-    """Processor time a request, in microseconds; a second of requests at a time, as fast as they go."""
-    carrier = Carrier()
-    exchange = Exchange(Decider(), carrier, Bounds(), CopyStore(0))
+async def measure_cpu_us(rate: int, seconds: int, recorder: Recorder | None) -> float:
+    """Returns the CPU time for each request, in microseconds.
+
+    Requests run as fast as possible. The recorder writes its records after every `rate` requests, which stand
+    for one second.
+    """
+    transport = FakeTransport()
+    exchange = Exchange(FixedPolicy(), transport, NoLimits(), CopyStore(0))
     if recorder is not None:
         exchange.observer = recorder.collector
-    serial, used = 0, 0.0
+    requests = 0
+    cpu_s = 0.0
     for _ in range(seconds):
-        at = time.process_time()
+        cpu_started = time.process_time()
         for _ in range(rate):
-            serial += 1
-            cls = ("video-part", "page-file")[serial % 2]
-            exchange.submit(Request(f"{serial:016x}", cls, "7f3a9c21e0b4d655", now_us() + 10**7, answered))
-            exchange.finish(carrier.sent.pop(), AttemptResult(Outcome.SERVED, load=(serial % 9, 0.5)))
+            requests += 1
+            cls = ("video-part", "page-file")[requests % 2]
+            exchange.submit(
+                Request(f"{requests:016x}", cls, "7f3a9c21e0b4d655", now_us() + 10**7, ignore_answer)
+            )
+            exchange.finish(transport.sent.pop(), AttemptResult(Outcome.SERVED, load=(requests % 9, 0.5)))
         if recorder is not None:
             recorder._enqueue()
             while not recorder.queue.empty():
                 await asyncio.sleep(0.0005)
-        used += time.process_time() - at
-    return 1e6 * used / serial
+        cpu_s += time.process_time() - cpu_started
+    return 1e6 * cpu_s / requests
 
 
 def main() -> None:
-    raw = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=raw)
+    """Measures several rates and prints a table."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--seconds", type=int, default=60)
     seconds = min(600, parser.parse_args().seconds)
     print("requests a second   without, us   with, us   more, us   bytes a request   bytes a second")
     for rate in (30, 300, 1000):
-        without = uvloop.run(play(rate, seconds, None))
-        with tempfile.TemporaryDirectory() as name:
-            recorder = Recorder("n0", "edge-1", RecordSettings(Path(name)))
-            recording = uvloop.run(play(rate, seconds, recorder))
+        cpu_without = uvloop.run(measure_cpu_us(rate, seconds, None))
+        with tempfile.TemporaryDirectory() as folder_name:
+            recorder = Recorder("n0", "edge-1", RecordSettings(Path(folder_name)))
+            cpu_with = uvloop.run(measure_cpu_us(rate, seconds, recorder))
             recorder.close()
             recorder.thread.join(5)
-            size = sum(path.stat().st_size for path in Path(name).iterdir())
-        row = (without, recording, recording - without, size / rate / seconds, size / seconds)
+            bytes_written = sum(path.stat().st_size for path in Path(folder_name).iterdir())
+        row = (
+            cpu_without,
+            cpu_with,
+            cpu_with - cpu_without,
+            bytes_written / rate / seconds,
+            bytes_written / seconds,
+        )
         print(f"{rate:17}{row[0]:14.1f}{row[1]:11.1f}{row[2]:11.1f}{row[3]:18.1f}{row[4]:17.0f}")
 
 
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -11,7 +11,6 @@
 from onyxpulley import fields
 from soak.observations import Forward, Observations, expected_body, now, unix_ms
 
-READ_SIZE = 65_536
 LOAD_REPORT = "busy_reqs:{open_requests};cpu_share:0.3"
 SHORT_TIME_LEFT = 0.1  # seconds to the deadline under which a server in mode DROPPING drops a request
 SMALL_BODY = 600  # bytes of a part
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -1,8 +1,8 @@
 /* Fault injection for one process, loaded with LD_PRELOAD.
  *
- * ONYXPULLEY_SHIM_TABLE names a file that the process maps and the test changes. Each rule makes one kind of call
- * fail, or move fewer bytes, until its count is used up. Without a table no call is affected. soak/shim.py writes
- * the same layout.
+ * ONYXPULLEY_SHIM_TABLE names a file that the process maps and the test changes. Each rule makes one kind of
+ * call fail, or move fewer bytes, until its count is used up. Without a table no call is affected. soak/shim.py
+ * writes the same layout.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -20,13 +20,28 @@
 #include <time.h>
 #include <unistd.h>
 
-enum call { SOCKET, CONNECT, ACCEPT, RECV, SEND, LOG_WRITE, FILE_WRITE, CLOSE, SETSOCKOPT, FSYNC, RENAME, CREATE, OPEN, CALLS };
+enum call {
+    SOCKET,
+    CONNECT,
+    ACCEPT,
+    RECV,
+    SEND,
+    LOG_WRITE,
+    FILE_WRITE,
+    CLOSE,
+    SETSOCKOPT,
+    FSYNC,
+    RENAME,
+    CREATE,
+    OPEN,
+    CALLS, /* number of calls */
+};
 
 struct rule {
-    int32_t error;   /* errno to set; 0: the call moves at most `max_bytes` bytes */
-    int32_t every;   /* one in this many calls is affected; 1: all */
+    int32_t error;     /* errno to set; 0: the call moves at most `max_bytes` bytes */
+    int32_t every;     /* one in this many calls is affected; 1: all */
     int32_t remaining; /* calls still to be affected; negative: no limit; 0: the rule is off */
-    int32_t port;    /* local port of the socket; negative: all but this one; 0: all */
+    int32_t port;      /* local port of the socket; negative: all but this one; 0: all */
     int32_t max_bytes; /* of a shortened read or write */
     int32_t seen;      /* matching calls */
     int32_t hits;      /* affected calls */
@@ -79,25 +94,25 @@
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define FAIL_IF_MATCHED(call, fd)                \
-    do {                                        \
-        struct rule *rule = match_rule((call), (fd)); \
-        if (rule && rule->error) {              \
-            errno = rule->error;                \
-            return -1;                          \
-        }                                       \
+#define FAIL_IF_MATCHED(call, fd)                       \
+    do {                                                \
+        struct rule *rule = match_rule((call), (fd));   \
+        if (rule && rule->error) {                      \
+            errno = rule->error;                        \
+            return -1;                                  \
+        }                                               \
     } while (0)
 
 /* The same for calls that move bytes; a rule without an error reduces `length`. */
-#define FAIL_OR_SHORTEN(call, fd, length)       \
-    do {                                        \
-        struct rule *rule = match_rule((call), (fd)); \
-        if (rule && rule->error) {              \
-            errno = rule->error;                \
-            return -1;                          \
-        }                                       \
+#define FAIL_OR_SHORTEN(call, fd, length)               \
+    do {                                                \
+        struct rule *rule = match_rule((call), (fd));   \
+        if (rule && rule->error) {                      \
+            errno = rule->error;                        \
+            return -1;                                  \
+        }                                               \
         if (rule && (length) > (size_t)rule->max_bytes) \
-            (length) = rule->max_bytes;           \
+            (length) = rule->max_bytes;                 \
     } while (0)
 
 int socket(int domain, int type, int protocol) {
@@ -197,7 +212,7 @@
     return real(from, to);
 }
 
-/* Only configurations among existing files: an interpreter that cannot read its own library never starts. */
+/* Of existing files only configurations fail: an interpreter that cannot read its library never starts. */
 static int is_configuration(const char *path) {
     size_t length = strlen(path);
     return length > 5 && (!strcmp(path + length - 5, ".json") || !strcmp(path + length - 5, ".toml"));
