--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: the seed alone determines the cluster, the disturbances and their times."""
+"""One run: its cluster, the disturbances and their times are drawn from the seed alone."""
 
 from __future__ import annotations
 
