--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,15 @@
 
 PACKAGE = Path(__file__).parents[1] / "onyxpulley"
 ROUTER = PACKAGE / "router.py"
-DECISION_MODULES = ["router", "pending_requests", "server_state", "slow_start", "hashing", "bounded_state"]
+DECISION_MODULES = [
+    "router",
+    "interface",
+    "pending_requests",
+    "server_state",
+    "slow_start",
+    "hashing",
+    "bounded_state",
+]
 
 
 def undocumented(node: ast.AST, name: str) -> Iterator[str]:
