--- a/soak/router.py
+++ b/soak/router.py
@@ -54,9 +54,15 @@
         """The router's name."""
         return self.options.name
 
+    def write_configuration(self) -> None:
+        """Replaces the configuration file at once: a process that is starting never reads half of one."""
+        new_path = self.configuration_path.with_suffix(".new")
+        new_path.write_text(json.dumps(self.options.configuration()))
+        new_path.replace(self.configuration_path)
+
     def spawn(self) -> None:
         """Writes the configuration and starts the process."""
-        self.configuration_path.write_text(json.dumps(self.options.configuration()))
+        self.write_configuration()
         env = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "ONYXPULLEY_"))}
         env |= {"GW_NAME": self.name, "GW_CONFIG": str(self.configuration_path), **self.extra_environment}
         if self.shim is not None:
@@ -103,7 +109,7 @@
 
     def reload(self) -> None:
         """Writes the configuration again and sends SIGHUP."""
-        self.configuration_path.write_text(json.dumps(self.options.configuration()))
+        self.write_configuration()
         self.send_signal(signal.SIGHUP)
 
     async def wait(self, seconds: float) -> int | None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,12 +5,14 @@
 import json
 import subprocess
 import sys
+import threading
 from pathlib import Path
 
 import pytest
 
-from soak.deployment import CLASSES
+from soak.deployment import CLASSES, RouterOptions, router_settings
 from soak.observations import Forward, Observations, Reply, RequestRecord
+from soak.router import RouterProcess
 from soak.rules import Rule, find_violations
 
 ROOT = Path(__file__).parents[1]
@@ -31,6 +33,26 @@
     assert len(results) == SEED_COUNT and all(result["served"] > 50 for result in results)
 
 
+# Guards against a router that starts while a reload writes its configuration, and reads an empty file.
+def test_a_configuration_is_never_half_written(tmp_path: Path) -> None:
+    router = RouterProcess(
+        RouterOptions("n0", 1, 2, "127.0.0.1:9", (), router_settings(1), 1), tmp_path, None, {}
+    )
+    router.reload()
+    done = threading.Event()
+
+    def write() -> None:
+        for _ in range(300):
+            router.reload()
+        done.set()
+
+    writer = threading.Thread(target=write)
+    writer.start()
+    while not done.is_set():
+        assert json.loads(router.configuration_path.read_text()) == router.options.configuration()
+    writer.join()
+
+
 def request_record() -> RequestRecord:
     return RequestRecord("1" * 16, "convert-job", "2" * 16, 0, 1.0, "n0", sent_at=10.0)
 
