--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -73,8 +73,8 @@
 class NoLimits:
     """Limits that no run reaches."""
 
-    most_open = 10**9
-    bodies = 10**9
+    max_open_requests = 10**9
+    request_body_bytes = 10**9
 
 
 def ignore_answer(answer: Answer) -> None:
--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -94,8 +94,8 @@
         return None
     try:
         return fields.parse_number(data[start + 1 : line_end].decode("ascii"), 0, most), line_end + 2
-    except ValueError as problem:
-        raise MalformedMessage(str(problem)) from problem
+    except ValueError as error:
+        raise MalformedMessage(str(error)) from error
 
 
 def parse_array(data: bytearray, start: int, end: int) -> tuple[list[bytes], int] | None:
@@ -227,8 +227,8 @@
     def _free_space(self) -> memoryview:
         try:
             return self.buffer.free_space()
-        except BufferError as problem:
-            self.stop_reading(CloseReason.MALFORMED, str(problem))
+        except BufferError as error:
+            self.stop_reading(CloseReason.MALFORMED, str(error))
             return self.buffer.free_space()
 
     def _process_input(self) -> None:
@@ -238,8 +238,8 @@
             return
         try:
             self._process_messages()
-        except MalformedMessage as problem:
-            self.stop_reading(CloseReason.MALFORMED, str(problem))
+        except MalformedMessage as error:
+            self.stop_reading(CloseReason.MALFORMED, str(error))
             return
         if self.bytes_to_discard or self.buffer.start < self.buffer.end:
             self.waiting_since = self.waiting_since or self.last_activity
@@ -273,10 +273,10 @@
                 continue
             try:
                 found = parse_array(buffer.data, buffer.start, buffer.end)
-            except BodyTooLarge as problem:
-                self._reject(problem.elements, f"body of {problem.body_size} bytes is too large")
-                self.bytes_to_discard = problem.body_size + 2
-                buffer.start = problem.body_start
+            except BodyTooLarge as error:
+                self._reject(error.elements, f"body of {error.body_size} bytes is too large")
+                self.bytes_to_discard = error.body_size + 2
+                buffer.start = error.body_start
                 continue
             if found is None:
                 return
@@ -307,8 +307,8 @@
             try:
                 arrived = self.stream.delayed_since or self.last_activity
                 request = parse_request(elements, self.front.classes, arrived)
-            except ValueError as problem:
-                return self._reject(elements, f"bad request: {problem}")
+            except ValueError as error:
+                return self._reject(elements, f"bad request: {error}")
 
             def reply(answer: Answer) -> None:
                 self._send_answer(tag, answer)
--- a/onyxpulley/config.py
+++ b/onyxpulley/config.py
@@ -32,17 +32,17 @@
 
     connect_timeout: float  # seconds, to a server
     idle_timeout: float  # seconds, of connections to servers
-    streams_per_connection: int  # open requests on one connection to a server
+    requests_per_connection: int  # open requests on one connection to a server
     sockets: int  # descriptors that the platform grants
-    most_open: int  # open requests
+    max_open_requests: int  # open requests
     copy_bytes: int  # of the router's own copies
-    bodies: int  # bytes of the bodies of all open requests
-    memo_entries: int  # in each table of objects that the decisions keep
+    request_body_bytes: int  # bytes of the bodies of all open requests
+    max_tracked_objects: int  # in each table of objects that the decisions keep
     partial_message_bytes: int  # of incomplete messages from clients
     queued_answer_bytes: int  # of all answers that clients have not read yet
     client_connections: int  # of all fronts together
     server_connections: int  # to all servers together
-    bulletin_line_bytes: int  # of one line from discovery; a whole list is one line
+    discovery_line_bytes: int  # of one line from discovery; a whole list is one line
     drain_timeout: float  # seconds from SIGTERM to the last answer
     signature_boxes: frozenset[str] = frozenset()  # ids of servers that want signatures
 
@@ -94,11 +94,11 @@
         with open(path, encoding="utf-8") as file:
             table = json.load(file)
         return _parse(table, env)
-    except OSError as problem:
-        kind = ConfigTemporarilyUnreadable if classify_error(problem) is ErrorKind.LOCAL else BadConfig
-        raise kind(f"cannot read {path}: {problem.strerror}") from problem
-    except (KeyError, TypeError, AttributeError, ValueError) as problem:
-        raise BadConfig(f"{path}: {type(problem).__name__}: {problem}") from problem
+    except OSError as error:
+        kind = ConfigTemporarilyUnreadable if classify_error(error) is ErrorKind.LOCAL else BadConfig
+        raise kind(f"cannot read {path}: {error.strerror}") from error
+    except (KeyError, TypeError, AttributeError, ValueError) as error:
+        raise BadConfig(f"{path}: {type(error).__name__}: {error}") from error
 
 
 def _parse(table: dict[str, Any], env: Mapping[str, str]) -> Config:
@@ -134,16 +134,16 @@
     return Limits(
         connect_timeout=int(bounds.get("connectTimeout", 400_000)) / 1e6,
         idle_timeout=int(bounds.get("connIdle", 15_000_000)) / 1e6,
-        streams_per_connection=max(1, int(bounds.get("streamsPerConn", 100))),
+        requests_per_connection=max(1, int(bounds.get("streamsPerConn", 100))),
         sockets=sockets,
-        most_open=min(2_000, int(memory / 40_000), int(bounds.get("openCap", 2_000))),
+        max_open_requests=min(2_000, int(memory / 40_000), int(bounds.get("openCap", 2_000))),
         copy_bytes=int(min(0.25 * memory, 0.4 * free)),
-        bodies=int(min(16e6, 0.2 * free)),
-        memo_entries=int(min(40_000, 0.15 * free / OBJECT_ENTRY_BYTES)),
+        request_body_bytes=int(min(16e6, 0.2 * free)),
+        max_tracked_objects=int(min(40_000, 0.15 * free / OBJECT_ENTRY_BYTES)),
         partial_message_bytes=int(0.2 * free),
         queued_answer_bytes=int(memory * 0.15),
         client_connections=max(1, sockets // 2),
         server_connections=max(8, sockets - sockets // 2 - RESERVED_DESCRIPTORS),
-        bulletin_line_bytes=max(MIN_LISTED_SERVERS * SERVER_ENTRY_BYTES, int(free / 16)),
+        discovery_line_bytes=max(MIN_LISTED_SERVERS * SERVER_ENTRY_BYTES, int(free / 16)),
         drain_timeout=min(3.0, longest_deadline) + 0.4,
     )
--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -97,8 +97,8 @@
             return format_statsd((name, value, "c") for name, value in metrics.counters()) + b"EOF\n"
         if word not in self.commands:
             return b"400 unknown call\n"
-        problem = self.commands[word]()
-        return f"400 {problem}\n".encode() if problem else b"200 ok\n"
+        refusal = self.commands[word]()
+        return f"400 {refusal}\n".encode() if refusal else b"200 ok\n"
 
     def admit(self) -> bool:
         """Always true: at the limit the oldest connection is closed, first of those without a whole line."""
--- a/onyxpulley/core.py
+++ b/onyxpulley/core.py
@@ -211,8 +211,8 @@
 class RequestLimits(Protocol):
     """Limits on all open requests together."""
 
-    most_open: int
-    bodies: int  # bytes of all request bodies
+    max_open_requests: int
+    request_body_bytes: int  # of all request bodies together
 
 
 class Exchange:
@@ -269,7 +269,10 @@
 
     def _is_full(self) -> bool:
         """Whether the limits that bound the memory of all open requests are reached."""
-        return len(self.open_requests) >= self.limits.most_open or self.body_bytes > self.limits.bodies
+        return (
+            len(self.open_requests) >= self.limits.max_open_requests
+            or self.body_bytes > self.limits.request_body_bytes
+        )
 
     def client_left(self, request: Request) -> None:
         """Drops a request whose client no longer waits, and gives up its attempts."""
@@ -390,8 +393,8 @@
         """
         try:
             commands = decision()
-        except Exception as problem:
-            self._fail_request(request, problem)
+        except Exception as error:
+            self._fail_request(request, error)
             return
         self.execute(commands)
 
@@ -399,13 +402,13 @@
         """Executes one command. An exception fails its request only: the commands behind it are executed."""
         try:
             self._execute_one(command)
-        except Exception as problem:
+        except Exception as error:
             request = command.request if isinstance(command, Reply) else command.attempt.request
-            self._fail_request(request, problem)
+            self._fail_request(request, error)
 
-    def _fail_request(self, request: Request, problem: Exception) -> None:
-        metrics.count(f"internal_error.{type(problem).__name__}")
-        logs.event("core", "internal_error", id=request.txn, why=repr(problem))
+    def _fail_request(self, request: Request, error: Exception) -> None:
+        metrics.count(f"internal_error.{type(error).__name__}")
+        logs.event("core", "internal_error", id=request.txn, why=repr(error))
         if not request.ended:
             self._answer(request, Answer(Verdict.FAILED, may_have_run=request.may_have_run))
         self._abort_attempts(request)
--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -66,7 +66,7 @@
 class DecisionAdapter:
     """The routing policy of Exchange, decided by a Router.
 
-    `link_transfers` and `max_tracked_objects` complete the settings object `params`.
+    `link_transfers` and `max_tracked_objects` are settings that `params`, the settings object, lacks.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         )
         old = self.settings
         if (new.zone, new.parent_kind, new.origin_kind) != (old.zone, old.parent_kind, old.origin_kind):
-            raise BadConfig("zone and kinds take a restart")
+            raise BadConfig("a change of the zone or of the kinds of servers needs a restart")
         if new != old:
             self._use_settings(new)
             self.router.configure(new)
--- a/onyxpulley/discovery.py
+++ b/onyxpulley/discovery.py
@@ -22,8 +22,8 @@
     DiscoveryStreamError,
     Event,
     EventReader,
-    MembershipUpdate,
-    Purge,
+    MembershipEvent,
+    PurgeEvent,
     parse_event,
     timestamps_of,
 )
@@ -57,8 +57,8 @@
             self.connected = True
             self.client.schedule.connected(monotonic(), key)
             loop.add_reader(self.sock, self.client.read, key)
-        except OSError as problem:
-            metrics.count_failed_call("connect.discovery", problem)
+        except OSError as error:
+            metrics.count_failed_call("connect.discovery", error)
             self.client.close_connection(key)
         finally:
             if not self.connected:
@@ -79,8 +79,8 @@
                     lines.append(line)
         except BlockingIOError:
             return lines
-        except OSError as problem:
-            metrics.count_failed_call("recv.discovery", problem)
+        except OSError as error:
+            metrics.count_failed_call("recv.discovery", error)
             return lines or None
 
     def close(self) -> None:
@@ -143,9 +143,9 @@
         """Applies an event; `live` if discovery told it just now."""
         for timestamp in timestamps_of(event) if live else ():
             self.decisions.platform_clock.observe_event(timestamp)
-        if isinstance(event, MembershipUpdate):
+        if isinstance(event, MembershipEvent):
             self._update_members(event.full, event.members)
-        elif isinstance(event, Purge):
+        elif isinstance(event, PurgeEvent):
             self.on_purge(event.item, event.group, event.issued_ms)
             self.exchange.copies.purge(event.item, event.group, event.issued_ms)
             self.exchange.execute(self.decisions.purge(event.item, event.group, event.issued_ms, live))
@@ -195,8 +195,8 @@
         key = self.schedule.started(monotonic())
         try:
             connection = self.connections[key] = DiscoveryConnection(self)
-        except OSError as problem:  # no descriptor is free: the schedule tries again
-            self.log(f"cannot open a socket: {problem}")
+        except OSError as error:  # no descriptor is free: the schedule tries again
+            self.log(f"cannot open a socket: {error}")
             self.schedule.closed(monotonic(), key)
             return
         connection.task = asyncio.create_task(connection.connect(key, self.address))
@@ -237,11 +237,11 @@
             self._apply_lines(lines)
             if lines:
                 self.caught_up.set()
-        except DiscoveryStreamError as problem:
-            self.log(str(problem))
+        except DiscoveryStreamError as error:
+            self.log(str(error))
             self.close_connection(key)
-        except BufferError as problem:
-            self.log(f"after {self.last_number}: {problem}")
+        except BufferError as error:
+            self.log(f"after {self.last_number}: {error}")
             self.close_connection(key)
 
     def _apply_lines(self, lines: Sequence[bytes]) -> None:
@@ -252,7 +252,7 @@
         try:
             for line in lines:
                 event = self.events.read(line)
-                if isinstance(event, MembershipUpdate) and not event.full:
+                if isinstance(event, MembershipEvent) and not event.full:
                     for timestamp in timestamps_of(event):
                         self.decisions.platform_clock.observe_event(timestamp)
                     changes += event.members
--- a/onyxpulley/discovery_events.py
+++ b/onyxpulley/discovery_events.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MembershipUpdate:
+class MembershipEvent:
     """Changes of the list of servers, or the full list."""
 
     full: bool
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Purge:
+class PurgeEvent:
     """A purge of an object or of a group."""
 
     item: str | None
@@ -45,12 +45,12 @@
     issued_ms: int  # Unix ms
 
 
-Event = MembershipUpdate | Purge
+Event = MembershipEvent | PurgeEvent
 
 
 def timestamps_of(found: Event | None) -> list[int]:
     """The platform's timestamps (Unix ms) in an event. None of them is in the platform's future."""
-    if isinstance(found, Purge):
+    if isinstance(found, PurgeEvent):
         return [found.issued_ms]
     return [member.boot_ms for member in found.members if member.boot_ms] if found is not None else []
 
@@ -85,13 +85,15 @@
     `PARSE_ERRORS`."""
     if "roster" in row:
         roster = row["roster"]
-        return MembershipUpdate(bool(roster.get("all", False)), [parse_member(r) for r in roster["targets"]])
+        return MembershipEvent(bool(roster.get("all", False)), [parse_member(r) for r in roster["targets"]])
     if "recall" in row:
         recall = row["recall"]
         item, group, issued_ms = recall.get("item"), recall.get("lot"), int(recall["issued"])
         if item is None and group is None:
             raise ValueError("recall without an item or a lot")
-        return Purge(None if item is None else str(item), None if group is None else int(group), issued_ms)
+        return PurgeEvent(
+            None if item is None else str(item), None if group is None else int(group), issued_ms
+        )
     return None
 
 
@@ -117,8 +119,8 @@
             row = json.loads(text)
             number_only = isinstance(row, int) or row.keys() == {"no"}
             number = int(row if isinstance(row, int) else row["no"])
-        except PARSE_ERRORS as problem:
-            self._skip(self.last_number, problem)  # which event it was, if any, is unknown
+        except PARSE_ERRORS as error:
+            self._skip(self.last_number, error)  # which event it was, if any, is unknown
             return None
         if number_only:
             self._check_last(number)
@@ -129,8 +131,8 @@
             self._request_again(f"event {number} is not the next after {self.last_number}")
         try:
             found = parse_event(row)
-        except PARSE_ERRORS as problem:
-            self._skip(number, problem)
+        except PARSE_ERRORS as error:
+            self._skip(number, error)
             self.last_number = number
             return None
         self.last_number, self.bad_lines = number, 0
@@ -151,17 +153,17 @@
         self.requested_after = self.last_number
         raise DiscoveryStreamError(reason[:300])
 
-    def _skip(self, number: int, problem: Exception) -> None:
+    def _skip(self, number: int, error: Exception) -> None:
         """Skips a malformed line that was already requested again. Raises DiscoveryStreamError for one that
         was not, and after too many in a row."""
         if self.requested_after != self.last_number:
-            self._request_again(f"bad line after {self.last_number}: {problem!r}")
+            self._request_again(f"bad line after {self.last_number}: {error!r}")
         what = f"event {number}" if number > self.last_number else f"a line after {number}"
         self.bad_lines += 1
         if self.bad_lines > MAX_BAD_LINES:
             self.bad_lines = 0
             raise DiscoveryStreamError(f"more than {MAX_BAD_LINES} bad lines after {self.last_number}")
-        self.log(f"{what} is skipped, malformed again: {problem!r}"[:300])
+        self.log(f"{what} is skipped, malformed again: {error!r}"[:300])
         self.skipped += 1
 
 
--- a/onyxpulley/incident/cli.py
+++ b/onyxpulley/incident/cli.py
@@ -30,8 +30,8 @@
 def load_or_exit(paths: tuple[Path, ...]) -> RecordSet:
     """Reads the files and reports problems on standard error. Exits with 1 if there are no records at all."""
     record_set = load_record_set(paths)
-    for problem in record_set.unreadable:
-        click.echo(f"not used: {problem}", err=True)
+    for error in record_set.unreadable:
+        click.echo(f"not used: {error}", err=True)
     for path, offset in record_set.truncated:
         click.echo(f"truncated: {path.name}: at byte {offset}; the records before it are used", err=True)
     if not record_set.runs:
--- a/onyxpulley/incident/files.py
+++ b/onyxpulley/incident/files.py
@@ -86,15 +86,15 @@
     """Raises UnreadableFile if it is not a file of records of this version."""
     try:
         source = pa.OSFile(str(path))
-    except OSError as problem:
-        raise UnreadableFile(path, 0, str(problem.strerror or problem)) from problem
+    except OSError as error:
+        raise UnreadableFile(path, 0, str(error.strerror or error)) from error
     with source:
         try:
             stream = pa.ipc.open_stream(source)
             metadata = json.loads((stream.schema.metadata or {})[b"onyxpulley"])
             version, name = metadata["version"], str(metadata["format"])
-        except (pa.ArrowException, OSError, KeyError, ValueError, TypeError) as problem:
-            raise UnreadableFile(path, 0, f"not a file of records: {str(problem)[:120]}") from problem
+        except (pa.ArrowException, OSError, KeyError, ValueError, TypeError) as error:
+            raise UnreadableFile(path, 0, f"not a file of records: {str(error)[:120]}") from error
         if name != FORMAT or version != VERSION:
             raise UnreadableFile(
                 path, 0, f"version {version} of {name!r}, but only {VERSION} of {FORMAT!r} can be read"
@@ -110,9 +110,9 @@
                 _check_kinds(batch)
             except StopIteration:
                 break
-            except (pa.ArrowException, OSError, ValueError) as problem:
+            except (pa.ArrowException, OSError, ValueError) as error:
                 truncated_at = offset
-                del problem
+                del error
                 break
             batches.append(batch)
             offset = source.tell()
--- a/onyxpulley/incident/record_set.py
+++ b/onyxpulley/incident/record_set.py
@@ -93,8 +93,8 @@
     for path in files.find_files(paths):
         try:
             file: RecordFile = files.read_file(path)
-        except UnreadableFile as problem:
-            unreadable.append(problem)
+        except UnreadableFile as error:
+            unreadable.append(error)
             continue
         run = runs.setdefault(file.run_id, Run(file.run_id))
         run.parts.append((file.part, path))
--- a/onyxpulley/incident/recorder.py
+++ b/onyxpulley/incident/recorder.py
@@ -42,10 +42,10 @@
         self.stream: pa.RecordBatchStreamWriter | None = None
         try:
             self._open_file()
-        except OSError as problem:
-            if classify_error(problem) is not ErrorKind.LOCAL:
+        except OSError as error:
+            if classify_error(error) is not ErrorKind.LOCAL:
                 raise
-            self._report_failure(problem)
+            self._report_failure(error)
         self.thread = threading.Thread(target=self._write_queued, name="recorder", daemon=True)
         self.thread.start()
 
@@ -112,8 +112,8 @@
                 pass
         try:
             self._close_file()
-        except (OSError, pa.ArrowException) as problem:
-            self._report_failure(problem)
+        except (OSError, pa.ArrowException) as error:
+            self._report_failure(error)
 
     def _append(self, records: Sequence[Record]) -> bool:
         """Whether the records were written. Readers recognize by their numbers what was written twice."""
@@ -123,8 +123,8 @@
             assert self.stream is not None and self.file is not None
             self.stream.write_batch(record_batch(records))
             self.file.flush()
-        except (OSError, pa.ArrowException) as problem:
-            self._report_failure(problem)
+        except (OSError, pa.ArrowException) as error:
+            self._report_failure(error)
             self._abandon_file()
             return False
         if self.file.tell() >= self.settings.file_mb * 1e6:
@@ -136,14 +136,14 @@
         try:
             self._close_file()
             self._delete_oldest()
-        except (OSError, pa.ArrowException) as problem:
-            self._report_failure(problem)
+        except (OSError, pa.ArrowException) as error:
+            self._report_failure(error)
 
-    def _report_failure(self, problem: Exception) -> None:
+    def _report_failure(self, error: Exception) -> None:
         self.write_failures += 1
-        if isinstance(problem, OSError):
-            metrics.count_failed_call("records", problem)
-        logs.event("records", "not_written", why=problem, failures=self.write_failures)
+        if isinstance(error, OSError):
+            metrics.count_failed_call("records", error)
+        logs.event("records", "not_written", why=error, failures=self.write_failures)
 
     def _delete_oldest(self) -> None:
         """Deletes the router's oldest files, of earlier runs as well, down to the number to be kept."""
--- a/onyxpulley/listeners.py
+++ b/onyxpulley/listeners.py
@@ -101,24 +101,24 @@
         while True:
             try:
                 sock, _ = await loop.sock_accept(self.sock)
-            except OSError as problem:
-                self._accept_failed(problem)
+            except OSError as error:
+                self._accept_failed(error)
                 await asyncio.sleep(self.retry_delay)
                 continue
             self._handle_accepted(sock)
             if self.failing_since and not self._empty_queue():
                 await asyncio.sleep(self.retry_delay)
 
-    def _accept_failed(self, problem: OSError) -> None:
+    def _accept_failed(self, error: OSError) -> None:
         """Logs the failure and sets the delay before the next try.
 
         There is no delay where only that connection was given up: others may be queued behind it.
         """
-        metrics.count_failed_call("accept", problem)
-        logs.event("listener", "accept_failed", why=problem)
+        metrics.count_failed_call("accept", error)
+        logs.event("listener", "accept_failed", why=error)
         self.failing_since = self.failing_since or now_us()
         self.failures += 1
-        at_once = classify_error(problem) is not ErrorKind.LOCAL and self.failures <= MAX_IMMEDIATE_RETRIES
+        at_once = classify_error(error) is not ErrorKind.LOCAL and self.failures <= MAX_IMMEDIATE_RETRIES
         self.retry_delay = 0.0 if at_once else next_retry_delay(self.retry_delay)
 
     def _empty_queue(self) -> bool:
@@ -128,8 +128,8 @@
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 break
-            except OSError as problem:
-                self._accept_failed(problem)
+            except OSError as error:
+                self._accept_failed(error)
                 return False
             sock.setblocking(False)
             self._handle_accepted(sock)
--- a/onyxpulley/logs.py
+++ b/onyxpulley/logs.py
@@ -45,9 +45,9 @@
             text = f"log: {lost} lines could not be written\n{text}"
         try:
             self._write(text.encode("utf-8", "replace") + b"\n")
-        except OSError as problem:
+        except OSError as error:
             self.lost += 1
-            metrics.count_failed_call("log_write", problem)
+            metrics.count_failed_call("log_write", error)
         else:
             self.lost -= lost
 
--- a/onyxpulley/metrics.py
+++ b/onyxpulley/metrics.py
@@ -16,14 +16,14 @@
     _counts[name] += by
 
 
-def error_name(problem: OSError) -> str:
+def error_name(error: OSError) -> str:
     """The name of its errno, such as ENOBUFS, or else of its type."""
-    return errno.errorcode.get(problem.errno or 0, type(problem).__name__)
+    return errno.errorcode.get(error.errno or 0, type(error).__name__)
 
 
-def count_failed_call(call: str, problem: OSError) -> None:
+def count_failed_call(call: str, error: OSError) -> None:
     """Counts a failed system call that was handled where it was made."""
-    count(f"call_failed.{call}.{error_name(problem)}")
+    count(f"call_failed.{call}.{error_name(error)}")
 
 
 def counters() -> list[tuple[str, int]]:
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -78,7 +78,7 @@
             configuration.settings,
             configuration.seed,
             configuration.concurrent_transfers,
-            limits.memo_entries,
+            limits.max_tracked_objects,
         )
         self.servers = Servers(limits)
         self.exchange = Exchange(self.decisions, self.servers, limits, CopyStore(limits.copy_bytes))
@@ -87,7 +87,7 @@
         self.discovery = DiscoveryClient(
             configuration.bulletin,
             configuration.seed,
-            limits.bulletin_line_bytes,
+            limits.discovery_line_bytes,
             self.decisions,
             self.exchange,
             self.servers,
@@ -143,8 +143,8 @@
         self.enter(Phase.STARTING)
         try:
             self.discovery.load_initial(self.config.known_event_no, self.config.known_events)
-        except PARSE_ERRORS as problem:
-            raise config.BadConfig(f"known: bad event: {problem!r}") from problem
+        except PARSE_ERRORS as error:
+            raise config.BadConfig(f"known: bad event: {error!r}") from error
         fronts: list[tuple[Listener, tuple[str, int] | None]]
         fronts = [(self.console, self.config.console), (self.platform_front, self.config.listen)]
         for front, address in fronts:
@@ -192,10 +192,10 @@
         while True:
             try:
                 return front.listen(address)
-            except OSError as problem:
-                metrics.count_failed_call("listen", problem)
-                if classify_error(problem) is not ErrorKind.LOCAL or monotonic() > end:
-                    raise config.BadConfig(f"cannot listen on {address}: {problem}") from problem
+            except OSError as error:
+                metrics.count_failed_call("listen", error)
+                if classify_error(error) is not ErrorKind.LOCAL or monotonic() > end:
+                    raise config.BadConfig(f"cannot listen on {address}: {error}") from error
             await asyncio.sleep(SWEEP_INTERVAL_S)
 
     def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
@@ -210,14 +210,14 @@
             new = config.load(os.environ)
             if (new.name, new.listen) != (old.name, old.listen):
                 raise config.BadConfig("a change of name or listen needs a restart")
-            self.decisions.configure(new.settings, new.concurrent_transfers, new.limits.memo_entries)
-        except config.BadConfig as problem:
-            if isinstance(problem, config.ConfigTemporarilyUnreadable) and attempts > 1:
+            self.decisions.configure(new.settings, new.concurrent_transfers, new.limits.max_tracked_objects)
+        except config.BadConfig as error:
+            if isinstance(error, config.ConfigTemporarilyUnreadable) and attempts > 1:
                 asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY_S, self.reload, attempts - 1)
                 return
             self.reload_counts["rejected"] += 1
             self.record("reload", "rejected")
-            logs.info(f"{old.name}: reload: kept the old settings: {problem}")
+            logs.info(f"{old.name}: reload: kept the old settings: {error}")
             return
         new.limits.signature_boxes = old.limits.signature_boxes  # from the operator's file
         old.limits.update_from(new.limits)
@@ -335,11 +335,11 @@
                 self.http_fronts.append(
                     HttpFront(operator.admin_listen, admin.open_connection, self.platform_front)
                 )
-        except ImportError as problem:
-            raise config.BadConfig(missing_package(problem, "identities")) from problem
-        except (OSError, InvalidIdentity) as problem:
-            what = "cannot listen" if isinstance(problem, OSError) else "identity"
-            raise config.BadConfig(f"operator's file: {what}: {problem}") from problem
+        except ImportError as error:
+            raise config.BadConfig(missing_package(error, "identities")) from error
+        except (OSError, InvalidIdentity) as error:
+            what = "cannot listen" if isinstance(error, OSError) else "identity"
+            raise config.BadConfig(f"operator's file: {what}: {error}") from error
 
     def _start_recorder(self) -> None:
         """Starts to keep records, from the first event on, if the operator's file asks for them.
@@ -351,12 +351,12 @@
         try:
             from onyxpulley.incident.hooks import attach
             from onyxpulley.incident.recorder import Recorder
-        except ImportError as problem:
-            raise config.BadConfig(missing_package(problem, "incident")) from problem
+        except ImportError as error:
+            raise config.BadConfig(missing_package(error, "incident")) from error
         try:
             self.recorder = Recorder(self.config.name, self.decisions.settings.zone, self.operator.records)
-        except OSError as problem:
-            raise config.BadConfig(f"operator's file: records: {problem.strerror or problem}") from problem
+        except OSError as error:
+            raise config.BadConfig(f"operator's file: records: {error.strerror or error}") from error
         attach(self.recorder.collector, self.exchange, self.discovery, self.decisions)
 
     def record(self, kind: str, cause: str, value: float = 0.0) -> None:
@@ -424,9 +424,9 @@
         """Runs one step of the sweep. An exception ends neither the other steps nor the program."""
         try:
             step()
-        except Exception as problem:
-            metrics.count(f"internal_error.{type(problem).__name__}")
-            logs.event("program", "internal_error", step=step.__qualname__, why=repr(problem))
+        except Exception as error:
+            metrics.count(f"internal_error.{type(error).__name__}")
+            logs.event("program", "internal_error", step=step.__qualname__, why=repr(error))
 
     def _tick_identities(self) -> None:
         if self.identity_manager is not None:
@@ -450,9 +450,9 @@
             await asyncio.sleep(DRAIN_POLL_S)
 
 
-def missing_package(problem: ImportError, extra: str) -> str:
+def missing_package(error: ImportError, extra: str) -> str:
     """The message for a package that the operator's file needs and requirements-EXTRA.txt installs."""
-    return f"operator's file: {problem.name} is not installed: pip install -r requirements-{extra}.txt"
+    return f"operator's file: {error.name} is not installed: pip install -r requirements-{extra}.txt"
 
 
 class HttpFront(Listener):
@@ -552,6 +552,6 @@
 
             operator = load(Path(os.environ["ONYXPULLEY_OPERATOR"]))
         uvloop.run(serve(configuration, operator))
-    except config.BadConfig as problem:
-        logs.info(f"onyxpulley: {problem}")
+    except config.BadConfig as error:
+        logs.info(f"onyxpulley: {error}")
         return 2
--- a/onyxpulley/router.py
+++ b/onyxpulley/router.py
@@ -24,7 +24,7 @@
 MAX_CONSECUTIVE_FAILURES = 3
 # Weight of one outcome in a server's failure rate. Less notices a fault too late, more reacts to chance.
 FAILURE_SMOOTHING = 0.1
-# A lower threshold would eject caches whose errors are mended by one quick retry.
+# A lower threshold would eject caches whose requests succeed after one quick retry.
 EJECTION_FAILURE_RATE = 0.9
 # Below this failure rate an error is retried on the same server: it has the copy, another one would fill.
 SAME_SERVER_RETRY_FAILURE_RATE = 0.5
@@ -33,9 +33,10 @@
 # Attempts broken this close together were on one connection, which is one failure. A shorter window would
 # count it more than once, a longer one would hide the loss of a second connection.
 CONNECTION_LOSS_WINDOW = 20 * MS
-# First ejection time of a cache, doubled up to the maximum. Also the delay of a retry of discovery.
+# First ejection time of a cache, doubled up to the maximum. Also the delay before the list of servers is
+# requested again.
 BASE_EJECTION_TIME = 2_000 * MS
-PARENT_EJECTION_TIME = 10_000 * MS  # see docs/design.md
+PARENT_EJECTION_TIME = 10_000 * MS  # reasons in docs/design.md
 # A lower maximum would send dead servers more probes, a higher one would leave recovered servers idle.
 MAX_EJECTION_TIME = 10_000 * MS
 
@@ -68,8 +69,8 @@
 NORMAL_LATENCY_RATIO = 1.2
 # Least time between two changes of a share. A shorter one oscillates, a longer one reacts late.
 SHARE_UPDATE_INTERVAL = 1_000 * MS
-# Refused share of a source's fills above which it gets fewer. Half of this made no difference; at twice this
-# sources jammed.
+# Share of refused fills above which a source is sent fewer. Half of this made no difference; with twice this
+# sources became congested.
 OVERLOAD_REFUSAL_RATE = 0.07
 MIN_ADMISSION_SHARE = 0.1
 ADMISSION_SHARE_STEP = 0.06  # growth in one update
@@ -98,7 +99,7 @@
 CONFIRMATION_COST = 0.05  # work of confirming the client's copy, as a part of the work of sending it
 
 # ---- Ranking and the choice of a source
-# Servers ranked for an object. That many are never all unusable at the same time.
+# Servers ranked for an object: so many are never all unusable at the same time.
 MAX_RANKED = 64
 PRIMARY_LINK_SHARE = 0.5  # part of a parent's link for fills of the objects whose primary parent it is
 PRIMARY_PRIOR_FILLS = 10.0  # mean fills assumed to be spread evenly over the parents, before any are measured
@@ -168,8 +169,8 @@
             servers = self.listed_servers(role)
             weighted = self.settings.weights_are_nominal
             values = scores(obj, ((s.id, s.weight if weighted else 1.0) for s in servers))
-            rows = zip(values, servers, strict=True)
-            best = nsmallest(MAX_RANKED, rows, key=lambda row: (-row[0], row[1].id))
+            scored = zip(values, servers, strict=True)
+            best = nsmallest(MAX_RANKED, scored, key=lambda pair: (-pair[0], pair[1].id))
             self.rankings[key] = ranking = tuple(server for _, server in best)
         return ranking
 
@@ -188,7 +189,7 @@
             return "origin"
         return "cache" if entry.zone == self.settings.zone else "sibling"
 
-    def on_listing(self, event: api.MembershipUpdate) -> None:
+    def on_membership_update(self, event: api.MembershipUpdate) -> None:
         """Applies a full list or changes of it. After a failure the list is requested again later."""
         if event.kind is api.UpdateKind.FAILED:
             return self.set_timer(None, BASE_EJECTION_TIME)
@@ -218,7 +219,7 @@
         if entry.server not in self.servers:
             self.servers[entry.server] = Server(entry, self.role_of(entry))
         server = self.servers[entry.server]
-        before = server.state == ServerState.GONE, server.weight
+        previous = server.state == ServerState.GONE, server.weight
         server.weight = entry.weight if entry.weight > 0 else 1.0
         restarted = entry.start_time > 0 and entry.start_time != server.start_time
         if restarted or (server.state == ServerState.GONE and entry.state == ServerState.READY):
@@ -234,7 +235,7 @@
             self.gone_ids.add(entry.server)
         else:
             self.gone_ids.discard(entry.server)
-        return server.role != "sibling" and before != (server.state == ServerState.GONE, server.weight)
+        return server.role != "sibling" and previous != (server.state == ServerState.GONE, server.weight)
 
     def must_be_kept(self, gone: Server) -> bool:
         """Whether a gone server is still needed, for attempts in flight or its slow start window."""
@@ -308,7 +309,7 @@
         """Whether the object is in the share that a cold or overloaded server is sent.
 
         Every router uses the same hash, so all agree on the objects. This protects small, slow and hot caches
-        and avoids simultaneous misses; the cost is a second copy of each object that moves meanwhile.
+        and avoids simultaneous misses; the cost is a second copy of each object sent elsewhere meanwhile.
         """
         share = server.admission_share * self.slow_start_factor(server)
         if share >= 1.0:
@@ -378,9 +379,11 @@
         """
         if not server.load_reported_at or not self.settings.weights_are_nominal or server.role != "cache":
             return self.current_latency_ratio(server)
-        others = server.load_of_others * math.exp((server.load_reported_at - self.now) / REPORT_TIME_CONSTANT)
-        sending = max(0.0, 1.0 - server.mean_source_wait / server.mean_latency)
-        return max(1.0, (len(server.in_flight) + others) * sending / server.weight)
+        other_requests = server.other_routers_requests * math.exp(
+            (server.load_reported_at - self.now) / REPORT_TIME_CONSTANT
+        )
+        sending_share = max(0.0, 1.0 - server.mean_source_wait / server.mean_latency)
+        return max(1.0, (len(server.in_flight) + other_requests) * sending_share / server.weight)
 
     def replica_count(self, obj: str, caches: int) -> int:
         """Over how many of its first caches an object is spread: 1 unless it is hot.
@@ -396,8 +399,9 @@
     def is_usable(self, server: Server) -> bool:
         """Whether a server may be sent requests: ready and not ejected.
 
-        An ejected server whose ejection time is over gets one request as a probe, unless only a successful
-        active probe reinstates it. The origin is usable whenever it is ready.
+        An ejected server whose ejection time is over gets one request as a probe. If it did not respond and
+        active probes are allowed, only a successful one reinstates it. The origin is usable whenever it is
+        ready.
         """
         if server.state != ServerState.READY:
             return False
@@ -545,15 +549,15 @@
         work = self.estimated_work(pending.request)
         ratio = self.expected_latency_ratio(server)
         aim = pending.cls.aim + pending.cls.aim_stretch * work
-        left = min(aim - (self.now - pending.arrived_at), pending.deadline - self.now)
+        time_left = min(aim - (self.now - pending.arrived_at), pending.deadline - self.now)
         if fill:
             link_ratio = self.current_latency_ratio(self.inbound_link)
             expected = (work + self.base_latency) * ratio + self.fill_latency
-            return (link_ratio <= OVERLOAD_LATENCY_RATIO or expected * link_ratio <= left) and (
-                ratio <= OVERLOAD_LATENCY_RATIO or FILL_TIME_MARGIN * expected <= left
+            return (link_ratio <= OVERLOAD_LATENCY_RATIO or expected * link_ratio <= time_left) and (
+                ratio <= OVERLOAD_LATENCY_RATIO or FILL_TIME_MARGIN * expected <= time_left
             )
         expected = HIT_TIME_MARGIN * (work + self.base_latency) * ratio
-        return ratio <= OVERLOAD_LATENCY_RATIO or expected <= left
+        return ratio <= OVERLOAD_LATENCY_RATIO or expected <= time_left
 
     # ---- Choice of server and source
     def choose_server(self, pending: PendingRequest) -> Server | None:
@@ -634,16 +638,16 @@
         The primary parent of the object is first, then the others by a hash of object and part. If its
         primary fills take more than half of its link, as all routers together would send them, or while fills
         are late more than its share of all fills, it keeps only that much of the parts, by another hash.
-        Otherwise the fills of a hot object jam one link, which a router notices too late. The cost is second
-        copies at parents.
+        Otherwise the fills of a hot object congest one link, which a router notices too late. The cost is
+        that several parents hold a copy.
         """
         name = f"{pending.request.object}/{pending.request.part}"
         weighted = self.settings.weights_are_nominal
-        others = set(parents[1:])
+        secondary_parents = set(parents[1:])
         fills_late = self.current_latency_ratio(self.inbound_link) > NORMAL_LATENCY_RATIO
-        rest = [p for p in self.ranking("parent", name) if p in others]
-        if not rest or not (fills_late or weighted) or not parents[0].primary_fills.first_at:
-            return parents[:1] + rest
+        secondary_order = [p for p in self.ranking("parent", name) if p in secondary_parents]
+        if not secondary_order or not (fills_late or weighted) or not parents[0].primary_fills.first_at:
+            return parents[:1] + secondary_order
         primary = parents[0]
         fills = primary.primary_fills
         prior = PRIMARY_PRIOR_FILLS * self.mean_work_per_worth / PRIMARY_FILL_TIME_CONSTANT
@@ -653,7 +657,11 @@
         if not fills_late:  # assuming that every router sends as much as this one
             link_share = PRIMARY_LINK_SHARE * primary.weight / self.settings.routers
             kept_share = max(kept_share, link_share / max(1e-9, fills.rate(self.now)))
-        return parents[:1] + rest if admission_hash(name, primary.id) < kept_share else rest + parents[:1]
+        return (
+            parents[:1] + secondary_order
+            if admission_hash(name, primary.id) < kept_share
+            else secondary_order + parents[:1]
+        )
 
     def may_fill_from_origin(self, source: Server, pending: PendingRequest, work: float) -> bool:
         """Whether a parent may fetch what it lacks: not what an overloaded origin does not admit."""
@@ -712,9 +720,9 @@
         """Sends the request once more if that is allowed, else answers it unless an attempt is still open."""
         server = None
         # an object that cannot be sent before the deadline, however quick the server, is not started
-        least_time = max(self.settings.tick, self.estimated_work(pending.request))
+        min_send_time = max(self.settings.tick, self.estimated_work(pending.request))
         time_left = pending.deadline - self.now
-        if pending.attempts_made < self.settings.max_attempts and time_left > least_time:
+        if pending.attempts_made < self.settings.max_attempts and time_left > min_send_time:
             server = self.choose_server(pending)
         if server is not None:
             self.send(pending, server)
@@ -748,9 +756,9 @@
         attempt.miss_rate = server.miss_rate
         if attempt.source is not None:
             self.record_slow_start_work(attempt.source, work * attempt.miss_rate)
-        for party in (server, attempt.source):
-            if party is not None and party.ejected_until:
-                party.probe_in_flight = True
+        for used_server in (server, attempt.source):
+            if used_server is not None and used_server.ejected_until:
+                used_server.probe_in_flight = True
         timeout = pending.deadline - self.now
         if cls.uncached and server.role != "cache":
             self.actions.append(api.Forward(request.id, server.id, timeout))
@@ -813,13 +821,13 @@
         would add to their load.
         """
         attempt.late_checks += 1
-        parties = (attempt.server, attempt.source, self.inbound_link)
+        path = (attempt.server, attempt.source, self.inbound_link)
         if attempt.server.answered_at < attempt.sent_at:
             if attempt.late_checks == 1:
                 self.record_failure(attempt.server, unresponsive=True)
             else:
                 self.reissue(attempt)
-        elif all(self.current_latency_ratio(p) <= NORMAL_LATENCY_RATIO for p in parties if p is not None):
+        elif all(self.current_latency_ratio(p) <= NORMAL_LATENCY_RATIO for p in path if p is not None):
             self.reissue(attempt, same_server=True)
 
     def reissue(self, attempt: Attempt, same_server: bool = False) -> None:
@@ -907,7 +915,7 @@
             if event.load != server.load_report or age > REPORT_TIME_CONSTANT / 2:
                 server.load_report = event.load
                 server.load_reported_at = self.now
-                server.load_of_others = max(0.0, busy_requests - len(server.in_flight))
+                server.other_routers_requests = max(0.0, busy_requests - len(server.in_flight))
         server.mean_source_wait += SMOOTHING_FACTOR * (event.waited - server.mean_source_wait)
         server.mean_latency += SMOOTHING_FACTOR * (event.duration - server.mean_latency)
         outcome = event.outcome
@@ -920,9 +928,9 @@
         else:
             if outcome is Outcome.MISS:
                 self.record_success(server, attempt.sent_at)
-            for party in (server, attempt.source):
-                if party is not None:
-                    party.probe_in_flight = False
+            for used_server in (server, attempt.source):
+                if used_server is not None:
+                    used_server.probe_in_flight = False
         if outcome in api.NEVER_RAN and not pending.open_attempts and attempt.first_possible_run:
             pending.may_have_run = False
         if event.request_done:
@@ -1050,15 +1058,15 @@
         if pending is None or attempt is None:
             return None
         server_work = self.mean_work(pending.request)
-        for party, work in ((attempt.server, server_work), (attempt.source, attempt.work)):
-            if party is None:
+        for used_server, work in ((attempt.server, server_work), (attempt.source, attempt.work)):
+            if used_server is None:
                 continue
-            if party.state != ServerState.READY:
+            if used_server.state != ServerState.READY:
                 return None
-            if self.slow_start_factor(party) < 1.0 and party not in attempt.slow_start_recorded:
-                if not self.within_slow_start_budget(party, work):
+            if self.slow_start_factor(used_server) < 1.0 and used_server not in attempt.slow_start_recorded:
+                if not self.within_slow_start_budget(used_server, work):
                     return None
-                self.record_slow_start_work(party, work)
+                self.record_slow_start_work(used_server, work)
         return self.max_age(pending)
 
     def force_answer(self, now: int, request_id: str) -> list[api.Action]:
@@ -1087,7 +1095,7 @@
                 for attempt in list(pending.open_attempts.values()) if pending else []:
                     self.cancel_attempt(attempt)
             case api.MembershipUpdate():
-                self.on_listing(event)
+                self.on_membership_update(event)
             case api.Purged():
                 self.on_purged(event)
             case api.Probed():
--- a/onyxpulley/server_state.py
+++ b/onyxpulley/server_state.py
@@ -31,7 +31,7 @@
         self.reset(0)
 
     def reset(self, slow_start_since: int) -> None:
-        """Forgets what is known of the last process. The new one is cold since then, or warm if 0."""
+        """Forgets the last process. The new one is cold since `slow_start_since`, or warm if that is 0."""
         self.slow_start_since = slow_start_since
 
         # health checks and outlier ejection
@@ -45,7 +45,7 @@
         self.probe_in_flight = False  # an active probe, or a request that serves as one
 
         # admission
-        self.admission_share = 1.0  # part of its objects that it is sent
+        self.admission_share = 1.0  # share of its objects for which it is sent requests
         self.share_updated_at = 0
         self.latency_ratio = 1.0  # running mean of measured over expected latency
         self.latency_sampled_at = 0
@@ -54,7 +54,7 @@
         # load
         self.load_report: tuple[float, ...] = ()
         self.load_reported_at = 0  # when the report last changed, 0 if there is none
-        self.load_of_others = 0.0  # requests of other routers there, by that report
+        self.other_routers_requests = 0.0  # requests in flight there from other routers, by that report
         self.mean_source_wait = 0.0  # us that an answer waited for its source
         self.mean_latency = 1.0  # us
         self.miss_rate = 1.0 if slow_start_since else 0.3
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -145,9 +145,9 @@
                 self.failed_locally = False
                 await loop.sock_connect(sock, self.pool.address)
                 return sock
-            except OSError as problem:
-                metrics.count_failed_call("connect.server", problem)
-                kind = classify_error(problem)
+            except OSError as error:
+                metrics.count_failed_call("connect.server", error)
+                kind = classify_error(error)
                 self.failed_locally = kind is ErrorKind.LOCAL
                 if kind is ErrorKind.FATAL or (self.failed_locally and self.pool.report_local_failure(self)):
                     raise
@@ -181,9 +181,9 @@
                 self.unresponsive = False
                 self.buffer.end += received
                 self._parse_answers()
-        except (OSError, BufferError, ValueError) as problem:
-            if not isinstance(problem, OSError):
-                logs.info(f"server {self.pool.uid}: malformed answer: {problem}")
+        except (OSError, BufferError, ValueError) as error:
+            if not isinstance(error, OSError):
+                logs.info(f"server {self.pool.uid}: malformed answer: {error}")
         finally:
             self.close(reason)
 
@@ -378,7 +378,7 @@
             connection
             for connection in self.connections
             if connection.can_take_requests(now, silence_timeout_us, idle_timeout_us)
-            and connection.load() < limits.streams_per_connection
+            and connection.load() < limits.requests_per_connection
             and not connection.knows_request(attempt)
         ]
         shareable = [connection for connection in available if not connection.is_exclusive()]
--- a/onyxpulley/simulator_adapter.py
+++ b/onyxpulley/simulator_adapter.py
@@ -166,8 +166,8 @@
             frame = json.loads(line)
             now = int(frame["t"])
             events = [(int(item["i"]), item["op"], self._decode(item)) for item in frame["items"]]
-        except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
-            raise MalformedLine(f"{type(problem).__name__}: {problem}") from problem
+        except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
+            raise MalformedLine(f"{type(error).__name__}: {error}") from error
         output = [row for event in events for row in self._run(now, *event)]
         return json.dumps({"output": output}, separators=(",", ":"))
 
@@ -194,8 +194,8 @@
     for line in source:
         try:
             sink.write(adapter.process_line(line) + "\n")
-        except MalformedLine as problem:
-            print(f"onyxpulley: malformed input line: {problem}", file=sys.stderr)
+        except MalformedLine as error:
+            print(f"onyxpulley: malformed input line: {error}", file=sys.stderr)
             return 1
         sink.flush()
     return 0
--- a/onyxpulley/streams.py
+++ b/onyxpulley/streams.py
@@ -23,16 +23,16 @@
     """Closes a socket and only counts an error: Linux frees the descriptor in any case."""
     try:
         sock.close()
-    except OSError as problem:
-        metrics.count_failed_call("close", problem)
+    except OSError as error:
+        metrics.count_failed_call("close", error)
 
 
 def disable_write_delay(sock: socket.socket) -> bool:
     """Sets TCP_NODELAY, so that small writes leave at once. False if it cannot be set now."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as problem:
-        metrics.count_failed_call("setsockopt", problem)
+    except OSError as error:
+        metrics.count_failed_call("setsockopt", error)
         return False
     return True
 
@@ -107,8 +107,8 @@
         while True:
             try:
                 received = await self.loop.sock_recv_into(self.sock, room)
-            except OSError as problem:
-                self._raise_if_fatal("recv", problem)
+            except OSError as error:
+                self._raise_if_fatal("recv", error)
                 self.reads_failing_since = self.reads_failing_since or now_us()
                 if now_us() - self.reads_failing_since > MAX_FAILING_US:
                     raise
@@ -124,8 +124,8 @@
             return self.sock.recv_into(room)
         except BlockingIOError:
             return None
-        except OSError as problem:
-            self._raise_if_fatal("recv", problem)
+        except OSError as error:
+            self._raise_if_fatal("recv", error)
             self.reads_failing_since = self.reads_failing_since or self.delayed_since or now_us()
             return None
 
@@ -140,8 +140,8 @@
             sent = self.sock.send(data)
         except BlockingIOError:
             return 0
-        except OSError as problem:
-            self._raise_if_fatal("send", problem)
+        except OSError as error:
+            self._raise_if_fatal("send", error)
             self.sends_failing_since = self.sends_failing_since or now_us()
             if now_us() - self.sends_failing_since > MAX_FAILING_US:
                 raise
@@ -179,7 +179,7 @@
         """Closes the socket."""
         close_quietly(self.sock)
 
-    def _raise_if_fatal(self, call: str, problem: OSError) -> None:
-        metrics.count_failed_call(f"{call}.{self.peer}", problem)
-        if classify_error(problem) is ErrorKind.FATAL:
-            raise problem
+    def _raise_if_fatal(self, call: str, error: OSError) -> None:
+        metrics.count_failed_call(f"{call}.{self.peer}", error)
+        if classify_error(error) is ErrorKind.FATAL:
+            raise error
--- a/onyxpulley/system_calls.py
+++ b/onyxpulley/system_calls.py
@@ -39,11 +39,11 @@
 _PATH = frozenset({errno.EHOSTUNREACH, errno.EHOSTDOWN, errno.ETIMEDOUT})
 
 
-def classify_error(problem: OSError) -> ErrorKind:
+def classify_error(error: OSError) -> ErrorKind:
     """The kind of an error by its errno; FATAL for one that is not known to pass."""
-    if problem.errno in _LOCAL:
+    if error.errno in _LOCAL:
         return ErrorKind.LOCAL
-    return ErrorKind.PATH if problem.errno in _PATH else ErrorKind.FATAL
+    return ErrorKind.PATH if error.errno in _PATH else ErrorKind.FATAL
 
 
 def next_retry_delay(delay: float) -> float:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,8 +11,8 @@
 
 
 class Limits:
-    most_open = 100
-    bodies = 10_000
+    max_open_requests = 100
+    request_body_bytes = 10_000
 
 
 class SingleAttempt:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,8 +25,8 @@
     ConnectionSchedule,
     DiscoveryStreamError,
     EventReader,
-    MembershipUpdate,
-    Purge,
+    MembershipEvent,
+    PurgeEvent,
     parse_event,
 )
 from onyxpulley.server_streams import PlainServerStream
@@ -86,7 +86,7 @@
     assert len(log_lines) == 1 and "is skipped" in log_lines[0] and reader.skipped == 1
     found = reader.read(drain)
     assert (
-        isinstance(found, MembershipUpdate)
+        isinstance(found, MembershipEvent)
         and found.members[0].state == "Terminating"
         and reader.last_number == 7
     )
@@ -100,7 +100,7 @@
     for _ in range(3):
         assert reader.read(b"noise") is None and reader.last_number == 5
     found = reader.read(line(roster(6, {"c1": "Terminating"})))
-    assert isinstance(found, MembershipUpdate) and reader.last_number == 6, "the drain that follows the noise"
+    assert isinstance(found, MembershipEvent) and reader.last_number == 6, "the drain that follows the noise"
     with pytest.raises(DiscoveryStreamError, match="bad line after 6"):
         reader.read(b"noise")
     with pytest.raises(DiscoveryStreamError, match="more than 8 bad lines"):
@@ -113,7 +113,7 @@
     good = line(roster(1, {"c1": "Ready"}))
     with pytest.raises(DiscoveryStreamError):
         reader.read(good[:40])
-    assert isinstance(reader.read(good), MembershipUpdate) and reader.skipped == 0
+    assert isinstance(reader.read(good), MembershipEvent) and reader.skipped == 0
     with pytest.raises(DiscoveryStreamError):  # the next line is requested again in its turn
         reader.read(b"{")
 
@@ -128,7 +128,7 @@
         reader.read(b"3")
     assert reader.read(b"3") is None, "discovery does not have them: later events must be read all the same"
     found = reader.read(line({"no": 4, "recall": {"lot": 17, "issued": 5}}))
-    assert found == Purge(None, 17, 5) and reader.last_number == 4
+    assert found == PurgeEvent(None, 17, 5) and reader.last_number == 4
     with pytest.raises(DiscoveryStreamError, match="event 9 is not the next"):
         reader.read(line(roster(9, {"c1": "Gone"})))
 
@@ -139,7 +139,7 @@
     reader.last_number = 5
     assert reader.read(number) is None and reader.last_number == 5
     found = reader.read(line(roster(6, {"c1": "Terminating"})))
-    assert isinstance(found, MembershipUpdate) and found.members[0].state == "Terminating", (
+    assert isinstance(found, MembershipEvent) and found.members[0].state == "Terminating", (
         "a drain that follows its number"
     )
     assert reader.read(number) is None and reader.read(line({"no": 7, "weather": {}})) is None
@@ -227,7 +227,7 @@
         self.exchange = Exchange(self.decisions, self.servers, LIMITS, CopyStore(0))
         self.servers.exchange = self.exchange
         self.discovery = DiscoveryClient(
-            ("127.0.0.1", port), 1, LIMITS.bulletin_line_bytes, self.decisions, self.exchange, self.servers
+            ("127.0.0.1", port), 1, LIMITS.discovery_line_bytes, self.decisions, self.exchange, self.servers
         )
         self.exchange.read_pending = self.discovery.read_pending
         self.discovery.load_initial(1, [roster(1, {"c0": "Ready", "p0": "Ready", "o": "Ready"}, full=True)])
@@ -372,7 +372,7 @@
             full_list = line(roster(3, {**fleet(1024, "Ready", 1100), "o": "Ready"}, full=True)) + b"\n"
             parts = [roster(4 + n, {uid: "Terminating"}) for n, uid in enumerate(fleet(1024, "", 1100))]
             changes = b"".join(line(row) + b"\n" for row in parts)
-            assert len(full_list) <= LIMITS.bulletin_line_bytes
+            assert len(full_list) <= LIMITS.discovery_line_bytes
             await loop.run_in_executor(None, peer.sendall, full_list + changes)
             async with asyncio.timeout(20):
                 while harness.discovery.last_number < 3 + 1100:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -64,14 +64,14 @@
     limits = config.load({"GW_CONFIG": str(path)}).limits
     held = (
         limits.copy_bytes
-        + limits.bodies
+        + limits.request_body_bytes
         + limits.partial_message_bytes
-        + limits.memo_entries * config.OBJECT_ENTRY_BYTES
+        + limits.max_tracked_objects * config.OBJECT_ENTRY_BYTES
     )
     assert (
         config.BASE_MEMORY_BYTES + held <= megabytes * 1e6
-        and limits.memo_entries >= 900
-        and limits.most_open >= 800
+        and limits.max_tracked_objects >= 900
+        and limits.max_open_requests >= 800
     )
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -180,7 +180,7 @@
     for server in harness.router.servers.values():
         server.latency_ratio = 8.0
         server.latency_sampled_at = harness.now
-        server.load_of_others = 0.0
+        server.other_routers_requests = 0.0
     assert all(sent_attempts(harness.request(f"m{i}")[1]) for i in range(4))
 
 
@@ -188,18 +188,18 @@
     """Guards against two routers that overload a cache: a report is older than what both sent since."""
     harness = harness_with_reports(10.0)
     cache = harness.router.servers["c0"]
-    assert cache.load_of_others == 10.0
+    assert cache.other_routers_requests == 10.0
     sent_requests = [
         (name, single_fetch(actions))
         for name, actions in (harness.request(o) for o in objects_of(harness, "c0", 9))
     ]
-    assert len(sent_requests) == 9 and cache.load_of_others == 10.0
+    assert len(sent_requests) == 9 and cache.other_routers_requests == 10.0
     name, sent = sent_requests[0]
     done = api.Finished(name, 0, sent.server, Outcome.SERVED, 120_000, True, Note.HIT, 0, (10.0,))
     harness.handle(done, 120_000)
-    assert cache.load_of_others == 10.0, "the same report says nothing new"
+    assert cache.other_routers_requests == 10.0, "the same report says nothing new"
     harness.handle(replace(done, id=sent_requests[1][0], load=(24.0,)), 1000)
-    assert cache.load_of_others == 24.0 - len(cache.in_flight) < 20.0, (
+    assert cache.other_routers_requests == 24.0 - len(cache.in_flight) < 20.0, (
         "a new report, less what is in flight now"
     )
 
