--- a/onyxpulley/bounded_state.py
+++ b/onyxpulley/bounded_state.py
@@ -23,8 +23,8 @@
     def reset(self, max_entries: int, references: int) -> None:
         """Empties the table, for entries with that many references each: the more, the fewer entries fit."""
         self.clear()
-        plain = REFERENCES_PER_ENTRY
-        self.max_entries = max(1, max_entries * plain // (plain + references))
+        base = REFERENCES_PER_ENTRY
+        self.max_entries = max(1, max_entries * base // (base + references))
 
     def __setitem__(self, key: K, value: V) -> None:
         super().__setitem__(key, value)
--- a/onyxpulley/buffers.py
+++ b/onyxpulley/buffers.py
@@ -24,21 +24,21 @@
             if len(self.data) > 4 * self.min_size:  # grown for a large message, which is consumed
                 self.data = bytearray(self.min_size)
         if len(self.data) - self.end < self.min_size // 2:
-            held = self.end - self.start
-            if self.start and held <= len(self.data) // 2:
-                self.data[:held] = self.data[self.start : self.end]
+            unread = self.end - self.start
+            if self.start and unread <= len(self.data) // 2:
+                self.data[:unread] = self.data[self.start : self.end]
             elif len(self.data) >= self.max_size:
                 if not self.start:
                     if self.end == len(self.data):
                         raise BufferError(f"message larger than {self.max_size} bytes")
                     return memoryview(self.data)[self.end :]
-                self.data[:held] = self.data[self.start : self.end]
+                self.data[:unread] = self.data[self.start : self.end]
             else:
                 larger = bytearray(min(self.max_size, 2 * len(self.data)))
-                larger[:held] = memoryview(self.data)[self.start : self.end]
+                larger[:unread] = memoryview(self.data)[self.start : self.end]
                 self.data = larger
             self.start = 0
-            self.end = held
+            self.end = unread
         return memoryview(self.data)[self.end :]
 
     def read_line(self, max_length: int) -> bytes | None:
--- a/onyxpulley/clients.py
+++ b/onyxpulley/clients.py
@@ -77,8 +77,8 @@
         self.body_size = body_size
 
 
-def parse_length(data: bytearray, start: int, end: int, marker: int, most: int) -> tuple[int, int] | None:
-    """Parses the length line at `start`, which begins with `marker` and gives a number up to `most`.
+def parse_length(data: bytearray, start: int, end: int, marker: int, maximum: int) -> tuple[int, int] | None:
+    """Parses the length line at `start`, which begins with `marker` and gives a number up to `maximum`.
 
     Returns the number and the offset behind the line, or None while the line is incomplete. Raises
     MalformedMessage.
@@ -93,7 +93,7 @@
             raise MalformedMessage("length line too long")
         return None
     try:
-        return fields.parse_number(data[start + 1 : line_end].decode("ascii"), 0, most), line_end + 2
+        return fields.parse_number(data[start + 1 : line_end].decode("ascii"), 0, maximum), line_end + 2
     except ValueError as error:
         raise MalformedMessage(str(error)) from error
 
@@ -106,24 +106,24 @@
     head = parse_length(data, start, end, 0x2A, MAX_ARRAY_ELEMENTS)
     if head is None:
         return None
-    count, at = head
+    count, offset = head
     elements: list[bytes] = []
     for index in range(count):
-        found = parse_length(data, at, end, 0x24, 2**40)
-        if found is None:
+        element_head = parse_length(data, offset, end, 0x24, 2**40)
+        if element_head is None:
             return None
-        size, at = found
+        size, offset = element_head
         if size > (MAX_BODY_BYTES if index >= 4 else MAX_ELEMENT_BYTES):
             if index >= 4 and size <= MAX_DISCARDED_BODY_BYTES:
-                raise BodyTooLarge(elements, at, size)
+                raise BodyTooLarge(elements, offset, size)
             raise MalformedMessage(f"element of {size} bytes is too long")
-        if end < at + size + 2:
+        if end < offset + size + 2:
             return None
-        if data[at + size] != 13 or data[at + size + 1] != 10:
+        if data[offset + size] != 13 or data[offset + size + 1] != 10:
             raise MalformedMessage("element does not end with CRLF")
-        elements.append(bytes(memoryview(data)[at : at + size]))
-        at += size + 2
-    return elements, at
+        elements.append(bytes(memoryview(data)[offset : offset + size]))
+        offset += size + 2
+    return elements, offset
 
 
 def encode_reply(tag: bytes, status: bytes, field_list: str = "", body: bytes = b"") -> bytes:
@@ -144,28 +144,28 @@
     cls = elements[2].decode("ascii")
     if cls not in classes:
         raise ValueError(f"unknown class {cls[:40]!r}")
-    row = fields.parse(elements[3].decode("ascii"))
+    values = fields.parse(elements[3].decode("ascii"))
     for name in ("txn", "item"):
-        if len(row.get(name, "")) != 16 or not HEX_DIGITS.issuperset(row[name]):
+        if len(values.get(name, "")) != 16 or not HEX_DIGITS.issuperset(values[name]):
             raise ValueError(f"{name} is not 16 hex digits")
-    have = row.get("have", "")
+    have = values.get("have", "")
     if len(have) > 64 or not have.isalnum() and have:
         raise ValueError("have is not an alphanumeric tag of at most 64 characters")
-    size = float(row.get("ram", "0"))
+    size = float(values.get("ram", "0"))
     if not 0 <= size < 1e9:
         raise ValueError(f"ram is out of bounds: {size}")
     return Request(
-        txn=row["txn"],
+        txn=values["txn"],
         cls=cls,
-        object_id=row["item"],
-        deadline=arrived + 1000 * fields.parse_number(row.get("limit", ""), 1, 3_600_000),
+        object_id=values["item"],
+        deadline=arrived + 1000 * fields.parse_number(values.get("limit", ""), 1, 3_600_000),
         reply=reply_not_set,
-        part=fields.parse_number(row.get("part", "0"), 0, 2**31),
-        group=fields.parse_number(row["group"], 0, 255) if "group" in row else None,
+        part=fields.parse_number(values.get("part", "0"), 0, 2**31),
+        group=fields.parse_number(values["group"], 0, 255) if "group" in values else None,
         size_kb=size,
         body=elements[4] if len(elements) > 4 else b"",
         client_tag=have,
-        is_repeat=row.get("second", "") == "1",
+        is_repeat=values.get("second", "") == "1",
     )
 
 
@@ -246,9 +246,9 @@
         elif self.received_message:
             self.waiting_since = 0
 
-    def stop_reading(self, reason: CloseReason, why: str) -> None:
+    def stop_reading(self, reason: CloseReason, explanation: str) -> None:
         """Discards all further input and closes the connection once its open requests are answered."""
-        self.front.log_bad_client(why)
+        self.front.log_bad_client(explanation)
         self.stop_reason = reason
         self.stopped_at = now_us()
         self.buffer = Buffer(4_096, MAX_BODY_BYTES + 8 * MAX_ELEMENT_BYTES)
@@ -272,25 +272,25 @@
                 self.bytes_to_discard -= discarded
                 continue
             try:
-                found = parse_array(buffer.data, buffer.start, buffer.end)
+                parsed = parse_array(buffer.data, buffer.start, buffer.end)
             except BodyTooLarge as error:
                 self._reject(error.elements, f"body of {error.body_size} bytes is too large")
                 self.bytes_to_discard = error.body_size + 2
                 buffer.start = error.body_start
                 continue
-            if found is None:
+            if parsed is None:
                 return
-            elements, buffer.start = found
+            elements, buffer.start = parsed
             self.received_message = True
             self.waiting_since = 0
             self._handle_message(elements)
 
-    def _reject(self, elements: list[bytes], why: str) -> None:
+    def _reject(self, elements: list[bytes], explanation: str) -> None:
         """Answers a message with a failure. Raises MalformedMessage where it has no valid tag."""
         tag = elements[1] if len(elements) > 1 else b""
         if not (tag.isdigit() and len(tag) <= 19 and int(tag) > 0):
-            raise MalformedMessage(why)
-        self.front.log_bad_client(why)
+            raise MalformedMessage(explanation)
+        self.front.log_bad_client(explanation)
         self.send(encode_reply(tag, b"broken"))
 
     def _handle_message(self, elements: list[bytes]) -> None:
@@ -331,14 +331,14 @@
     def _send_answer(self, tag: bytes, answer: Answer) -> None:
         if self.open_requests.pop(tag, None) is None:
             return
-        row = []
+        reply_fields = []
         if answer.verdict is Verdict.SERVED and answer.tag:
-            row.append(f"have={answer.tag}")
+            reply_fields.append(f"have={answer.tag}")
         if answer.not_modified:
-            row.append("same=1")
+            reply_fields.append("same=1")
         if answer.retry_after_ms:
-            row.append(f"later={answer.retry_after_ms}")
-        self.send(encode_reply(tag, REPLY_STATUS[answer.verdict], ",".join(row), answer.body))
+            reply_fields.append(f"later={answer.retry_after_ms}")
+        self.send(encode_reply(tag, REPLY_STATUS[answer.verdict], ",".join(reply_fields), answer.body))
 
     def send(self, data: bytes) -> None:
         """Queues data for the writer; may close the connection with the most unsent data to free memory."""
@@ -465,7 +465,7 @@
         return self.limits.client_connections
 
     def admit(self) -> bool:
-        """Whether one more connection has room; at the limit it closes another one to make room."""
+        """Whether one more connection may be accepted; at the limit it closes another one to make room."""
         if len(self.connections) + self.other_connections() >= self.max_connections:
             return evict_one((*self.connections, *self.evictable_elsewhere()), now_us())
         return True
@@ -499,12 +499,12 @@
             buffered_bytes -= len(client.buffer.data)
             client.stop_reading(CloseReason.MEMORY, "too much of messages that are incomplete")
 
-    def log_bad_client(self, why: str) -> None:
+    def log_bad_client(self, explanation: str) -> None:
         """Logs one line, or only counts it past MAX_LOG_LINES_PER_SECOND: very many would fill the log."""
         self._start_log_window_if_due()
         self.lines_logged += 1
         if self.lines_logged <= MAX_LOG_LINES_PER_SECOND:
-            logs.info(f"client: {why}"[:200])
+            logs.info(f"client: {explanation}"[:200])
 
     def add_connection(self, sock: socket.socket) -> None:
         """Starts to serve an accepted connection."""
--- a/onyxpulley/clock.py
+++ b/onyxpulley/clock.py
@@ -46,26 +46,28 @@
     timestamps of copies, so a copy counts as no younger than it may be.
     """
 
-    def __init__(self, clock: Callable[[], int] = now_us, own_offset: int | None = None) -> None:
-        """`own_offset`: microseconds by which this machine's Unix time is ahead of `clock`."""
+    def __init__(self, clock: Callable[[], int] = now_us, local_offset: int | None = None) -> None:
+        """`local_offset`: microseconds by which this machine's Unix time is ahead of `clock`."""
         self.clock = clock
-        self.own_offset = _UNIX_OFFSET_US if own_offset is None else own_offset
+        self.local_offset = _UNIX_OFFSET_US if local_offset is None else local_offset
         self.proven_offset: int | None = None  # of the platform's time, by the timestamps of discovery
-        self.latest_offset = self.own_offset  # of the latest time by any source
+        self.latest_offset = self.local_offset  # of the latest time by any source
 
     def observe_initial(self, unix_ms: int) -> None:
         """Takes a timestamp from the events in the configuration file."""
-        self._observe_discovery(unix_ms, self.own_offset + MAX_LEAD_US)
+        self._observe_discovery(unix_ms, self.local_offset + MAX_LEAD_US)
 
     def observe_event(self, unix_ms: int) -> None:
         """Takes a timestamp from discovery. One far ahead of all others is ignored."""
-        known = self.latest_offset if self.proven_offset is None else max(self.proven_offset, self.own_offset)
+        known = (
+            self.latest_offset if self.proven_offset is None else max(self.proven_offset, self.local_offset)
+        )
         self._observe_discovery(unix_ms, known + MAX_ADVANCE_US)
 
     def observe_copy(self, unix_ms: int) -> None:
         """Takes the timestamp at which the origin issued a copy. One far ahead of this machine is ignored."""
         offset = unix_ms * 1000 - self.clock()
-        if offset <= self.own_offset + MAX_LEAD_US:
+        if offset <= self.local_offset + MAX_LEAD_US:
             self.latest_offset = max(self.latest_offset, offset)
 
     def _observe_discovery(self, unix_ms: int, max_offset: int) -> None:
--- a/onyxpulley/config.py
+++ b/onyxpulley/config.py
@@ -13,7 +13,7 @@
 RESERVED_DESCRIPTORS = 40  # listeners, console connections, discovery, the event loop, the log and a file
 
 BASE_MEMORY_BYTES = 26e6  # of the process before its first request
-MIN_LISTED_SERVERS = 1024  # that any configuration has room for
+MIN_LISTED_SERVERS = 1024  # servers in a list from discovery that any configuration can read
 SERVER_ENTRY_BYTES = 512  # of one server in a list from discovery, with the longest id
 OBJECT_ENTRY_BYTES = 900  # of one object, in all tables of the decisions together
 
@@ -61,7 +61,7 @@
     console: tuple[str, int] | None  # the second address
     bulletin: tuple[str, int]
     seed: int
-    known_event_no: int  # number of the last event of discovery in `known_events`
+    known_event_number: int  # number of the last event of discovery in `known_events`
     known_events: list[dict[str, Any]]
     settings: dict[str, Any]
     limits: Limits
@@ -74,11 +74,11 @@
         return self.link_bytes_per_s / self.flow_bytes_per_s if self.flow_bytes_per_s > 0 else 0.0
 
 
-def parse_address(text: str, what: str) -> tuple[str, int]:
-    """Splits host:port, with or without brackets round the host. Raises BadConfig, which names `what`."""
+def parse_address(text: str, name: str) -> tuple[str, int]:
+    """Splits host:port, with or without brackets round the host. Raises BadConfig, which names `name`."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadConfig(f"{what} is not host:port: {text!r}")
+        raise BadConfig(f"{name} is not host:port: {text!r}")
     return host.strip("[]"), int(port)
 
 
@@ -116,7 +116,7 @@
         console=parse_address(console, "console") if console else None,
         bulletin=parse_address(str(table["bulletin"]), "bulletin"),
         seed=int(str(table.get("seed", "0")), 16),
-        known_event_no=int(known["no"]),
+        known_event_number=int(known["no"]),
         known_events=list(known["items"]),
         settings=settings,
         limits=derive_limits(limits, bounds, longest_deadline),
--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -21,9 +21,9 @@
 Metric = tuple[str, int, str]  # name, value and kind: "c" is a counter, "g" a gauge
 
 
-def format_statsd(rows: Iterable[Metric]) -> bytes:
+def format_statsd(samples: Iterable[Metric]) -> bytes:
     """The metrics as lines of StatsD, each name behind `app.`."""
-    return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in rows).encode()
+    return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in samples).encode()
 
 
 class ConsoleConnection:
--- a/onyxpulley/copy_store.py
+++ b/onyxpulley/copy_store.py
@@ -80,7 +80,7 @@
         now = now_us()
         self.purges[purge_key] = max(issued_ms, self._issued_at(purge_key)), now
         if len(self.purges) > MAX_PURGES:
-            self.purges = {k: row for k, row in self.purges.items() if now - row[1] < PURGE_MEMORY_US}
+            self.purges = {k: times for k, times in self.purges.items() if now - times[1] < PURGE_MEMORY_US}
         for key, copy in list(self.entries.items()):
             if copy.issued_ms <= issued_ms and (
                 key[1] == object_id if object_id is not None else copy.group == group
--- a/onyxpulley/core.py
+++ b/onyxpulley/core.py
@@ -17,7 +17,7 @@
 from onyxpulley.clock import now_us
 from onyxpulley.copy_store import Copy, CopyStore
 
-RESEND_DELAY = 0.01  # seconds before an attempt is sent again that was held back: its client may have left
+RESEND_DELAY = 0.01  # seconds until an attempt is tried again that was held back as its client may have left
 
 
 class Outcome(Enum):
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answers a request; attempts that are still out are given up."""
+    """Answers a request; attempts that are still in flight are given up."""
 
     request: Request
     answer: Answer
@@ -173,7 +173,7 @@
         """Notes that no answer is owed any more."""
 
     def answer_now(self, request: Request) -> Sequence[Command]:
-        """Decides on the final answer at once, whatever attempts are out."""
+        """Decides on the final answer at once, whatever attempts are in flight."""
 
     def is_cacheable(self, cls: str) -> bool:
         """Whether answers of this class may be kept as copies."""
@@ -289,7 +289,7 @@
             self.answer_now(request)
 
     def answer_now(self, request: Request) -> None:
-        """Answers a request at once, whatever attempts are out."""
+        """Answers a request at once, whatever attempts are in flight."""
         self._run_decision(request, lambda: self.policy.answer_now(request))
 
     # ---- Called by the transport
@@ -480,7 +480,7 @@
         self.body_bytes -= len(request.body)
 
     def _abort_attempts(self, request: Request) -> None:
-        """Gives up all attempts of a request that are still out."""
+        """Gives up all attempts of a request that are still in flight."""
         for attempt in request.attempts:
             if not attempt.ended:
                 self._close_attempt(attempt)
--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -198,7 +198,7 @@
         return commands
 
     def answer_now(self, request: Request) -> Sequence[Command]:
-        """Decides on the final answer at once, whatever attempts are out."""
+        """Decides on the final answer at once, whatever attempts are in flight."""
         return self._to_commands(self.router.force_answer(self.clock(), request.key))
 
     def recheck(self, attempt: Attempt) -> bool:
--- a/onyxpulley/discovery.py
+++ b/onyxpulley/discovery.py
@@ -30,7 +30,7 @@
 from onyxpulley.servers import Servers
 from onyxpulley.streams import close_quietly
 
-READ_VALID_S = 0.02  # how long a read counts as up to date: a small part of the grace period of a drain
+READ_VALID_S = 0.02  # how long a read counts as up to date; short compared with the grace period of a drain
 
 
 class DiscoveryConnection:
@@ -129,26 +129,26 @@
         return self.events.last_number
 
     # ---- Events
-    def load_initial(self, number: int, rows: Sequence[dict[str, Any]]) -> None:
+    def load_initial(self, number: int, messages: Sequence[dict[str, Any]]) -> None:
         """Applies the events of the configuration file, the last of which has this number. Raises one of
         `PARSE_ERRORS`."""
-        events = [parse_event(row) for row in rows]
+        events = [parse_event(message) for message in messages]
         for timestamp in (timestamp for event in events for timestamp in timestamps_of(event)):
             self.decisions.platform_clock.observe_initial(timestamp)
         for event in events:
-            self.apply(event, live=False)
+            self.apply(event, is_live=False)
         self.events.last_number = number
 
-    def apply(self, event: Event | None, live: bool = True) -> None:
-        """Applies an event; `live` if discovery told it just now."""
-        for timestamp in timestamps_of(event) if live else ():
+    def apply(self, event: Event | None, is_live: bool = True) -> None:
+        """Applies an event; `is_live` if discovery sent it just now."""
+        for timestamp in timestamps_of(event) if is_live else ():
             self.decisions.platform_clock.observe_event(timestamp)
         if isinstance(event, MembershipEvent):
             self._update_members(event.full, event.members)
         elif isinstance(event, PurgeEvent):
             self.on_purge(event.item, event.group, event.issued_ms)
             self.exchange.copies.purge(event.item, event.group, event.issued_ms)
-            self.exchange.execute(self.decisions.purge(event.item, event.group, event.issued_ms, live))
+            self.exchange.execute(self.decisions.purge(event.item, event.group, event.issued_ms, is_live))
 
     def _update_members(self, full: bool, members: Sequence[Member]) -> None:
         if not members and not full:
@@ -211,7 +211,7 @@
 
     def read_pending(self) -> None:
         """Called before a request is taken or written: reads all connections, unless that was just done. An
-        event that waits unread behind other work counts as told, above all the drain of a server."""
+        event that has arrived counts even while it waits unread, above all the drain of a server."""
         if monotonic() - self.last_read >= READ_VALID_S:
             self.read_all()
 
--- a/onyxpulley/discovery_events.py
+++ b/onyxpulley/discovery_events.py
@@ -14,11 +14,11 @@
 
 SERVER_ID = re.compile(r"[!-+\--~]{1,128}")  # what the line protocol can carry: no space, no comma
 PARSE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, RecursionError)
-SILENCE_TIMEOUT_S = 2.2  # two of the numbers sent each second were missed: another connection is opened
+SILENCE_TIMEOUT_S = 2.2  # two of the numbers sent each second are missing: another connection is opened
 SILENCE_JITTER_S = 0.3  # added at random, because all routers see the same silence
 DEAD_TIMEOUT_S = 3.5  # silence after which a connection is closed
 MIN_RECONNECT_DELAY_S = 0.1  # mean delay between the first two connection attempts, then doubled
-MAX_RECONNECT_DELAY_S = 0.5  # the events of the meantime count already, so the delay stays short
+MAX_RECONNECT_DELAY_S = 0.5  # events sent meanwhile count already, so the delay stays short
 MAX_BAD_LINES = 8  # malformed lines skipped in a row: a connection that brings nothing else is closed
 MAX_CONNECTIONS = 4  # at a time: one may hang while the next ones are opened
 CONNECT_TIMEOUT_S = MAX_CONNECTIONS * MAX_RECONNECT_DELAY_S  # until connected, and then until the first bytes
@@ -48,46 +48,48 @@
 Event = MembershipEvent | PurgeEvent
 
 
-def timestamps_of(found: Event | None) -> list[int]:
+def timestamps_of(event: Event | None) -> list[int]:
     """The platform's timestamps (Unix ms) in an event. None of them is in the platform's future."""
-    if isinstance(found, PurgeEvent):
-        return [found.issued_ms]
-    return [member.boot_ms for member in found.members if member.boot_ms] if found is not None else []
+    if isinstance(event, PurgeEvent):
+        return [event.issued_ms]
+    return [member.boot_ms for member in event.members if member.boot_ms] if event is not None else []
 
 
-def parse_member(row: dict[str, Any]) -> Member:
+def parse_member(entry: dict[str, Any]) -> Member:
     """One entry of the list of servers. Raises one of `PARSE_ERRORS`."""
-    if row["state"] not in SERVER_STATES:
-        raise ValueError(f"unknown state {str(row['state'])[:40]!r}")
-    endpoint, weight = str(row["endpoint"]), float(row.get("capacity_hint") or 1.0)
+    if entry["state"] not in SERVER_STATES:
+        raise ValueError(f"unknown state {str(entry['state'])[:40]!r}")
+    endpoint, weight = str(entry["endpoint"]), float(entry.get("capacity_hint") or 1.0)
     host, _, port = endpoint.rpartition(":")
     if not host:
         raise ValueError(f"endpoint without a host: {endpoint[:40]!r}")
     fields.parse_number(port, 1, 65535)
-    if not SERVER_ID.fullmatch(str(row["uid"])):
-        raise ValueError(f"invalid server id: {str(row['uid'])[:40]!r}")
+    if not SERVER_ID.fullmatch(str(entry["uid"])):
+        raise ValueError(f"invalid server id: {str(entry['uid'])[:40]!r}")
     if not math.isfinite(weight):
         raise ValueError(f"capacity_hint is not a finite number: {weight}")
     return Member(
-        uid=str(row["uid"]),
+        uid=str(entry["uid"]),
         endpoint=endpoint,
-        zone=str(row.get("az") or ""),
-        model=str(row.get("model") or ""),
-        cell=int(row.get("pod_group") or 0),
-        state=str(row["state"]),
+        zone=str(entry.get("az") or ""),
+        model=str(entry.get("model") or ""),
+        cell=int(entry.get("pod_group") or 0),
+        state=str(entry["state"]),
         weight=weight,
-        boot_ms=int(row.get("boot_ms") or 0),
+        boot_ms=int(entry.get("boot_ms") or 0),
     )
 
 
-def parse_event(row: dict[str, Any]) -> Event | None:
+def parse_event(message: dict[str, Any]) -> Event | None:
     """The event of one line, or None for a kind that this program does not use. Raises one of
     `PARSE_ERRORS`."""
-    if "roster" in row:
-        roster = row["roster"]
-        return MembershipEvent(bool(roster.get("all", False)), [parse_member(r) for r in roster["targets"]])
-    if "recall" in row:
-        recall = row["recall"]
+    if "roster" in message:
+        roster = message["roster"]
+        return MembershipEvent(
+            bool(roster.get("all", False)), [parse_member(entry) for entry in roster["targets"]]
+        )
+    if "recall" in message:
+        recall = message["recall"]
         item, group, issued_ms = recall.get("item"), recall.get("lot"), int(recall["issued"])
         if item is None and group is None:
             raise ValueError("recall without an item or a lot")
@@ -106,7 +108,7 @@
         self.last_number = 0  # of the last event that was taken
         self.log = log
         self.requested_after = -1  # the number after which events were last requested again
-        self.missing_after = -1  # the number after which events were missing when the last number was told
+        self.missing_after = -1  # the number after which events were missing at the last check
         self.skipped = 0  # malformed lines skipped in all
         self.bad_lines = 0  # malformed lines skipped since the last event
 
@@ -116,9 +118,9 @@
         if not text:
             return None
         try:
-            row = json.loads(text)
-            number_only = isinstance(row, int) or row.keys() == {"no"}
-            number = int(row if isinstance(row, int) else row["no"])
+            message = json.loads(text)
+            number_only = isinstance(message, int) or message.keys() == {"no"}
+            number = int(message if isinstance(message, int) else message["no"])
         except PARSE_ERRORS as error:
             self._skip(self.last_number, error)  # which event it was, if any, is unknown
             return None
@@ -130,13 +132,13 @@
         if number > self.last_number + 1 and self.requested_after != self.last_number:
             self._request_again(f"event {number} is not the next after {self.last_number}")
         try:
-            found = parse_event(row)
+            event = parse_event(message)
         except PARSE_ERRORS as error:
             self._skip(number, error)
             self.last_number = number
             return None
         self.last_number, self.bad_lines = number, 0
-        return found
+        return event
 
     def _check_last(self, number: int) -> None:
         """Takes a line with the number of the last event, which is never that event itself. It may overtake
@@ -158,12 +160,12 @@
         was not, and after too many in a row."""
         if self.requested_after != self.last_number:
             self._request_again(f"bad line after {self.last_number}: {error!r}")
-        what = f"event {number}" if number > self.last_number else f"a line after {number}"
+        skipped = f"event {number}" if number > self.last_number else f"a line after {number}"
         self.bad_lines += 1
         if self.bad_lines > MAX_BAD_LINES:
             self.bad_lines = 0
             raise DiscoveryStreamError(f"more than {MAX_BAD_LINES} bad lines after {self.last_number}")
-        self.log(f"{what} is skipped, malformed again: {error!r}"[:300])
+        self.log(f"{skipped} is skipped, malformed again: {error!r}"[:300])
         self.skipped += 1
 
 
@@ -171,14 +173,14 @@
 class ConnectionState:
     """What the schedule knows of one connection. Times are in seconds of the monotonic clock."""
 
-    since: float  # when it was started, was connected or last received something
+    last_progress: float  # when it was started, connected or last received something
     connected: bool = False
     received: bool = False
     silence_deadline: float = 0.0  # until then it counts as alive without receiving more
 
     def deadline(self) -> float:
         """When it is given up, unless something is received before."""
-        return self.since + (DEAD_TIMEOUT_S if self.received else CONNECT_TIMEOUT_S)
+        return self.last_progress + (DEAD_TIMEOUT_S if self.received else CONNECT_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -193,8 +195,9 @@
 @dataclass(slots=True)
 class ConnectionSchedule:
     """Decides when to connect to discovery and which connections to close. One that hangs or falls silent
-    keeps its time, but another one is opened beside it: events count from when they are told, heard or not.
-    Delays are spread by `random` in [0, 1), since all routers lose discovery at the same moment."""
+    is kept until its deadline, but another one is opened beside it, since an event counts from the time at
+    which discovery sends it, received or not. Delays are spread by `random` in [0, 1), since all routers lose
+    discovery at the same moment."""
 
     random: Callable[[], float]
     connections: dict[int, ConnectionState] = field(default_factory=dict)
@@ -214,7 +217,7 @@
         """Notes that a connection was established."""
         if key in self.connections:
             connection = self.connections[key]
-            connection.since, connection.connected = now, True
+            connection.last_progress, connection.connected = now, True
             connection.silence_deadline = now + SILENCE_TIMEOUT_S + SILENCE_JITTER_S * self.random()
 
     def received(self, now: float, key: int) -> None:
@@ -239,16 +242,18 @@
         """What to do now. Of several live connections, one that received something is kept."""
         live = [key for key, c in self.connections.items() if c.connected and now < c.silence_deadline]
         if live:
-            best = max(live, key=lambda key: (self.connections[key].received, self.connections[key].since))
-            others = (
+            best = max(
+                live, key=lambda key: (self.connections[key].received, self.connections[key].last_progress)
+            )
+            superseded = (
                 [key for key in self.connections if key != best] if self.connections[best].received else []
             )
-            return ScheduleStep(False, others, max(0.01, self.connections[best].silence_deadline - now))
+            return ScheduleStep(False, superseded, max(0.01, self.connections[best].silence_deadline - now))
         overdue = [key for key, c in self.connections.items() if now >= c.deadline()]
         connect = now >= self.next_connect
         if connect and len(self.connections) - len(overdue) >= MAX_CONNECTIONS:  # the oldest makes room
             rest = [key for key in self.connections if key not in overdue]
-            overdue.append(min(rest, key=lambda key: self.connections[key].since))
+            overdue.append(min(rest, key=lambda key: self.connections[key].last_progress))
         deadlines = [c.deadline() for key, c in self.connections.items() if key not in overdue]
         next_time = min((time for time in (self.next_connect, *deadlines) if time > now), default=now)
         return ScheduleStep(connect, overdue, max(0.01, next_time - now))
--- a/onyxpulley/fields.py
+++ b/onyxpulley/fields.py
@@ -8,13 +8,13 @@
 
     Raises ValueError where a field has no name or no `=`, or where a name comes twice.
     """
-    found: dict[str, str] = {}
+    values: dict[str, str] = {}
     for pair in text.split(",") if text and text != "-" else ():
         name, separator, value = pair.partition("=")
-        if not name or not separator or name in found:
+        if not name or not separator or name in values:
             raise ValueError(f"bad field {pair[:40]!r}")
-        found[name] = value
-    return found
+        values[name] = value
+    return values
 
 
 def parse_number(text: str, minimum: int, maximum: int) -> int:
--- a/onyxpulley/hashing.py
+++ b/onyxpulley/hashing.py
@@ -23,13 +23,13 @@
 def scores(obj: str, servers: Iterable[tuple[str, float]]) -> list[float]:
     """`score` for many servers, given by id and weight; hashes the name of the object only once."""
     prefix = blake2b(f"{obj}\0".encode(), digest_size=8, key=HASH_KEY)
-    found = []
+    result = []
     for server, weight in servers:
         state = prefix.copy()
         state.update(server.encode())
         value = (int.from_bytes(state.digest(), "big") + 0.5) / 2**64
-        found.append(-weight / math.log(value))
-    return found
+        result.append(-weight / math.log(value))
+    return result
 
 
 def admission_hash(obj: str, server: str) -> float:
--- a/onyxpulley/incident/causes.py
+++ b/onyxpulley/incident/causes.py
@@ -71,22 +71,22 @@
     """All incidents in the order of time."""
     shares: dict[int, float] = {}
     for second in fleet.seconds:
-        near = [fleet.seconds[s] for s in (second - 1, second, second + 1) if s in fleet.seconds]
-        requests = sum(s.requests() for s in near)
+        neighbours = [fleet.seconds[s] for s in (second - 1, second, second + 1) if s in fleet.seconds]
+        requests = sum(s.requests() for s in neighbours)
         if requests >= MIN_REQUESTS:
-            shares[second] = sum(s.not_served() for s in near) / requests
+            shares[second] = sum(s.not_served() for s in neighbours) / requests
     if not shares:
         return []
     threshold = min(MAX_THRESHOLD, max(MIN_FAILURE_SHARE, USUAL_SHARE_FACTOR * median(shares.values())))
-    found: list[Incident] = []
+    incidents: list[Incident] = []
     for second in sorted(
         s for s, share in shares.items() if share > threshold and fleet.seconds[s].not_served()
     ):
-        if found and second - found[-1].last_second <= MAX_PAUSE_S:
-            found[-1].last_second = second
+        if incidents and second - incidents[-1].last_second <= MAX_PAUSE_S:
+            incidents[-1].last_second = second
         else:
-            found.append(Incident(second, second))
-    for incident in found:
+            incidents.append(Incident(second, second))
+    for incident in incidents:
         for second in range(incident.first_second, incident.last_second + 1):
             counts = fleet.seconds.get(second)
             if counts is None:
@@ -97,7 +97,7 @@
                 if verdict != "served":
                     incident.not_served_by_class[cls] += count
         incident.suspects = rank_suspects(fleet, incident)
-    return found
+    return incidents
 
 
 def suspect_kind(event: TimelineEvent, drained: set[str]) -> str | None:
@@ -136,21 +136,21 @@
         kind = suspect_kind(event, drained)
         if kind is None:
             continue
-        rows = groups.setdefault(kind, [])
-        if rows and event.time - rows[-1][2] <= SAME_CAUSE_US:
-            suspect, routers, _ = rows[-1]
+        suspects = groups.setdefault(kind, [])
+        if suspects and event.time - suspects[-1][2] <= SAME_CAUSE_US:
+            suspect, routers, _ = suspects[-1]
             if event.subject not in suspect.subjects:
                 suspect.subjects.append(event.subject)
-            rows[-1] = (suspect, routers | event.routers, event.time)
+            suspects[-1] = (suspect, routers | event.routers, event.time)
         else:
             text = SUSPECT_TEXTS[kind].format(text=event.text)
-            rows.append((Suspect(kind, event.time, [event.subject], text), event.routers, event.time))
-    found = []
-    for rows in groups.values():
-        for suspect, routers, _ in rows:
+            suspects.append((Suspect(kind, event.time, [event.subject], text), event.routers, event.time))
+    result = []
+    for suspects in groups.values():
+        for suspect, routers, _ in suspects:
             suspect.evidence.append(f"seen by {len(routers)} router{'s' * (len(routers) > 1)}")
-            found.append(suspect)
-    return found
+            result.append(suspect)
+    return result
 
 
 def failed_attempts(fleet: Fleet, incident: Incident) -> Counter[str]:
@@ -174,24 +174,24 @@
     now = mean_rate(incident.first_second - 5, incident.first_second + 5)
     if before <= 0 or now < SURGE_FACTOR * before:
         return None
-    found = Suspect("surge", incident.first_second * US_PER_SECOND, ["clients"], "sent more requests")
-    found.evidence.append(f"{now:.0f} requests a second, {before:.0f} in the half minute before")
-    return found
+    suspect = Suspect("surge", incident.first_second * US_PER_SECOND, ["clients"], "sent more requests")
+    suspect.evidence.append(f"{now:.0f} requests a second, {before:.0f} in the half minute before")
+    return suspect
 
 
 def rank_suspects(fleet: Fleet, incident: Incident) -> list[Suspect]:
     """The suspects of an incident, the highest score first."""
     start = incident.first_second * US_PER_SECOND
-    near = [e for e in fleet.events if start - SEARCH_BEFORE_US <= e.time <= start + SEARCH_AFTER_US]
+    nearby_events = [e for e in fleet.events if start - SEARCH_BEFORE_US <= e.time <= start + SEARCH_AFTER_US]
     drained = {
         e.subject for e in fleet.events if e.kind is Kind.LIST and e.text == "draining" and e.time <= start
     }
-    found = group_suspects(near, drained)
+    suspects = group_suspects(nearby_events, drained)
     surge = surge_suspect(fleet, incident)
-    found += [surge] if surge is not None else []
+    suspects += [surge] if surge is not None else []
     failed = failed_attempts(fleet, incident)
     total = failed.total()
-    for suspect in found:
+    for suspect in suspects:
         distance_s = abs(start - suspect.time) / US_PER_SECOND
         suspect.score = KIND_SCORES[suspect.kind] + 2.0 * math.exp(-distance_s / PROXIMITY_S)
         order = "before" if suspect.time <= start else "after"
@@ -204,4 +204,4 @@
             )
         if suspect.time > start + US_PER_SECOND:
             suspect.score -= 1.0
-    return sorted(found, key=lambda s: (-s.score, s.time))
+    return sorted(suspects, key=lambda s: (-s.score, s.time))
--- a/onyxpulley/incident/fleet.py
+++ b/onyxpulley/incident/fleet.py
@@ -149,10 +149,10 @@
     ) -> TimelineEvent | None:
         """Adds a new event, or a router to an event that others reported within the last seconds."""
         key = (str(kind), subject, text, value)
-        found = self.recent_events.get(key)
-        if found is not None and entry.time - found.last_reported_at < SAME_EVENT_US:
-            found.last_reported_at = entry.time
-            found.routers.add(entry.run_id.router)
+        recent = self.recent_events.get(key)
+        if recent is not None and entry.time - recent.last_reported_at < SAME_EVENT_US:
+            recent.last_reported_at = entry.time
+            recent.routers.add(entry.run_id.router)
             return None
         new = TimelineEvent(entry.time, kind, subject, text, entry.time, {entry.run_id.router}, value)
         self.recent_events[key] = new
@@ -199,10 +199,10 @@
     def _confirm_event(self, entry: Entry, subject: str, text: str, value: float) -> None:
         """Adds a router to a recent event of the membership."""
         for kind in ("started", str(Kind.LIST)):
-            found = self.recent_events.get((kind, subject, text, value))
-            if found is not None and entry.time - found.last_reported_at < SAME_EVENT_US:
-                found.last_reported_at = entry.time
-                found.routers.add(entry.run_id.router)
+            recent = self.recent_events.get((kind, subject, text, value))
+            if recent is not None and entry.time - recent.last_reported_at < SAME_EVENT_US:
+                recent.last_reported_at = entry.time
+                recent.routers.add(entry.run_id.router)
 
     def _apply_ejection(self, entry: Entry, record: Record) -> TimelineEvent | None:
         server = self._server(record.server)
--- a/onyxpulley/incident/merge.py
+++ b/onyxpulley/incident/merge.py
@@ -102,17 +102,17 @@
 
     An event that it received twice is left out, since the two can't be told apart.
     """
-    found: dict[AnchorKey, int] = {}
+    anchors: dict[AnchorKey, int] = {}
     repeated = set[AnchorKey]()
     for record in records:
         key = anchor_key(record)
         if key is None or record.at - run_id.epoch < STARTUP_US:
             continue
-        if key in found:
+        if key in anchors:
             repeated.add(key)
-        elif len(found) < MAX_ANCHORS:
-            found[key] = record.at
-    return {key: at for key, at in found.items() if key not in repeated}
+        elif len(anchors) < MAX_ANCHORS:
+            anchors[key] = record.at
+    return {key: at for key, at in anchors.items() if key not in repeated}
 
 
 def estimate_clocks(anchors: Mapping[str, Mapping[AnchorKey, int]]) -> dict[str, Clock]:
@@ -124,18 +124,18 @@
     for name, own_anchors in anchors.items():
         for key, at in own_anchors.items():
             shared.setdefault(key, {})[name] = at
-    shared = {key: row for key, row in shared.items() if len(row) > 1}
+    shared = {key: times for key, times in shared.items() if len(times) > 1}
     count = dict.fromkeys(anchors, 0)
-    for row in shared.values():
-        for name in row:
+    for times in shared.values():
+        for name in times:
             count[name] += 1
     offset = dict.fromkeys(anchors, 0.0)
     deviations: dict[str, list[float]] = {}
     for _ in range(CLOCK_ITERATIONS):
         deviations = {name: [] for name in anchors}
-        for row in shared.values():
-            middle = median(at - offset[name] for name, at in row.items())
-            for name, at in row.items():
+        for times in shared.values():
+            middle = median(at - offset[name] for name, at in times.items())
+            for name, at in times.items():
                 deviations[name].append(at - middle)
         offset = {n: median(rest) if count[n] >= MIN_ANCHORS else 0.0 for n, rest in deviations.items()}
     estimated = [offset[name] for name in anchors if count[name] >= MIN_ANCHORS]
@@ -152,13 +152,13 @@
 Reader = Callable[[], Iterable[Record | Gap]]
 
 
-def run_entries(run_id: RunId, rows: Iterable[Record | Gap], offset: int) -> Iterator[Entry]:
-    """The rows of a run on the common clock. Time never goes back: if the router's clock was set back, the
-    order of the sequence numbers is kept."""
+def run_entries(run_id: RunId, contents: Iterable[Record | Gap], offset: int) -> Iterator[Entry]:
+    """The records and gaps of a run on the common clock. Time never goes back: if the router's
+    clock was set back, the order of the sequence numbers is kept."""
     latest = -(2**62)
-    for row in rows:
-        latest = max(latest, (row.since if isinstance(row, Gap) else row.at) - offset)
-        yield Entry(latest, run_id, row)
+    for content in contents:
+        latest = max(latest, (content.since if isinstance(content, Gap) else content.at) - offset)
+        yield Entry(latest, run_id, content)
 
 
 def merge_runs(runs: Sequence[tuple[RunId, Reader]], offsets: Mapping[str, int]) -> Iterator[Entry]:
--- a/onyxpulley/incident/record_set.py
+++ b/onyxpulley/incident/record_set.py
@@ -47,10 +47,10 @@
 
     def anchors(self) -> dict[AnchorKey, int]:
         """The events by which its clock is compared. Reads only their kinds of records; copies count once."""
-        found: dict[int, Record] = {}
+        by_seq: dict[int, Record] = {}
         for _, path in self.parts:
-            found |= {record.seq: record for record in files.read_file(path).records(ANCHOR_KINDS)}
-        return find_anchors(self.run_id, (found[seq] for seq in sorted(found)))
+            by_seq |= {record.seq: record for record in files.read_file(path).records(ANCHOR_KINDS)}
+        return find_anchors(self.run_id, (by_seq[seq] for seq in sorted(by_seq)))
 
 
 @dataclass(slots=True)
@@ -104,10 +104,10 @@
         if file.part >= last_part.get(file.run_id, -1):
             last_part[file.run_id] = file.part
             run.truncated = file.truncated_at >= 0
-    found = sorted(runs.values(), key=lambda run: run.run_id)
+    sorted_runs = sorted(runs.values(), key=lambda run: run.run_id)
     anchors: dict[str, dict[AnchorKey, int]] = {}
-    for run in found:
+    for run in sorted_runs:
         for key, at in run.anchors().items():
             anchors.setdefault(run.run_id.router, {}).setdefault(key, at)
         anchors.setdefault(run.run_id.router, {})
-    return RecordSet(found, unreadable, truncated, estimate_clocks(anchors), record_count)
+    return RecordSet(sorted_runs, unreadable, truncated, estimate_clocks(anchors), record_count)
--- a/onyxpulley/incident/recorder.py
+++ b/onyxpulley/incident/recorder.py
@@ -148,6 +148,6 @@
     def _delete_oldest(self) -> None:
         """Deletes the router's oldest files, of earlier runs as well, down to the number to be kept."""
         prefix = self._file_path(0).name.rsplit("-", 2)[0]
-        own = [p for p in self.settings.folder.glob(f"*{SUFFIX}") if p.name.rsplit("-", 2)[0] == prefix]
-        for path in sorted(own, key=lambda p: p.name.rsplit("-", 2)[1:])[: -self.settings.files or None]:
+        paths = [p for p in self.settings.folder.glob(f"*{SUFFIX}") if p.name.rsplit("-", 2)[0] == prefix]
+        for path in sorted(paths, key=lambda p: p.name.rsplit("-", 2)[1:])[: -self.settings.files or None]:
             path.unlink(missing_ok=True)
--- a/onyxpulley/listeners.py
+++ b/onyxpulley/listeners.py
@@ -146,7 +146,7 @@
             close_quietly(sock)
 
     def admit(self) -> bool:
-        """Whether one more connection has room; may close another one for it."""
+        """Whether one more connection may be accepted; may close another one to make room."""
         raise NotImplementedError
 
     def add_connection(self, sock: socket.socket) -> None:
--- a/onyxpulley/logs.py
+++ b/onyxpulley/logs.py
@@ -108,8 +108,8 @@
     if suppressed:
         fields["passed_over"] = suppressed
     timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(unix_seconds()))
-    row = {"time": f"{timestamp}Z", "part": part, "event": name, **fields}
-    _logger.info("%s", " ".join(f"{key}={_format_value(value)}" for key, value in row.items()))
+    values = {"time": f"{timestamp}Z", "part": part, "event": name, **fields}
+    _logger.info("%s", " ".join(f"{key}={_format_value(value)}" for key, value in values.items()))
 
 
 def event_logger(part: str) -> EventLogger:
--- a/onyxpulley/operator_config.py
+++ b/onyxpulley/operator_config.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class OperatorConfig:
-    """The contents of the operator's file. What None stands for is not set up."""
+    """The contents of the operator's file. A field is None if its part is not set up."""
 
     tenants: Tenants
     signed_listen: tuple[str, int] | None  # host and port of the signed front
@@ -61,10 +61,10 @@
 def _read(table: dict[str, Any], folder: Path) -> OperatorConfig:
     check_keys(table, "operator's file", "signed", "admin", "tenants", "identities", "records")
     tenants = Tenants()
-    for row in table.get("tenants", []):
-        if row.get("name") in tenants.by_name:
-            raise BadConfig(f"tenant {row['name']} is defined twice")
-        tenants.put(read_tenant(row))
+    for tenant_table in table.get("tenants", []):
+        if tenant_table.get("name") in tenants.by_name:
+            raise BadConfig(f"tenant {tenant_table['name']} is defined twice")
+        tenants.put(read_tenant(tenant_table))
     signed = check_keys(table.get("signed", {}), "signed", "listen", "public", "signature_boxes")
     admin = check_keys(
         table.get("admin", {}), "admin", "listen", "certificate", "key", "bundle", "trust_domain", "allow"
@@ -78,18 +78,18 @@
             "admin: certificate, key, bundle and trust_domain belong in [identities] where there is one"
         )
     admin_roles: dict[str, str] = {}
-    for row in admin.get("allow", []):
-        check_keys(row, "admin.allow", "id", "role")
-        if row["role"] not in ROLES:
+    for entry in admin.get("allow", []):
+        check_keys(entry, "admin.allow", "id", "role")
+        if entry["role"] not in ROLES:
             raise BadConfig(f"admin.allow: role must be one of {', '.join(ROLES)}")
-        caller = read_spiffe_id(row["id"], "admin.allow")
+        caller = read_spiffe_id(entry["id"], "admin.allow")
         assert identities is not None
         if caller.trust_domain not in {
             identities.trust_domain,
             *(identities.files.federated if identities.files else ()),
         }:
-            raise BadConfig(f"admin.allow: {row['id']} is not of a configured trust domain")
-        admin_roles[row["id"]] = row["role"]
+            raise BadConfig(f"admin.allow: {entry['id']} is not of a configured trust domain")
+        admin_roles[entry["id"]] = entry["role"]
     return OperatorConfig(
         tenants,
         parse_address(signed["listen"], "signed.listen") if signed else None,
@@ -114,10 +114,10 @@
     return RecordSettings(folder / table["folder"], float(file_mb), files)
 
 
-def _seconds(table: dict[str, Any], name: str, default: float, most: float = 1e9) -> float:
+def _seconds(table: dict[str, Any], name: str, default: float, maximum: float = 1e9) -> float:
     value = table.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= most:
-        raise BadConfig(f"identities: {name} must be a number of seconds from 0 to {most:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= maximum:
+        raise BadConfig(f"identities: {name} must be a number of seconds from 0 to {maximum:g}")
     return float(value)
 
 
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -142,7 +142,7 @@
         self._start_recorder()
         self.enter(Phase.STARTING)
         try:
-            self.discovery.load_initial(self.config.known_event_no, self.config.known_events)
+            self.discovery.load_initial(self.config.known_event_number, self.config.known_events)
         except PARSE_ERRORS as error:
             raise config.BadConfig(f"known: bad event: {error!r}") from error
         fronts: list[tuple[Listener, tuple[str, int] | None]]
@@ -254,16 +254,16 @@
         """The metrics that METRICS shows."""
         answers = self.exchange.answer_counts
         known, avoided = self.decisions.server_counts()
-        rows: list[Metric] = []
+        samples: list[Metric] = []
         for cls in sorted({*self.decisions.class_names, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
-            rows += [
+            samples += [
                 (f"succeeded.{cls}", answers[cls, Verdict.SERVED], "c"),
                 (f"declined.{cls}", answers[cls, Verdict.REFUSED], "c"),
                 (f"aborted.{cls}", aborted, "c"),
             ]
         return [
-            *rows,
+            *samples,
             ("forwards", self.servers.forwards, "c"),
             ("outstanding", len(self.exchange.open_requests), "g"),
             ("discovered", known, "g"),
@@ -338,8 +338,8 @@
         except ImportError as error:
             raise config.BadConfig(missing_package(error, "identities")) from error
         except (OSError, InvalidIdentity) as error:
-            what = "cannot listen" if isinstance(error, OSError) else "identity"
-            raise config.BadConfig(f"operator's file: {what}: {error}") from error
+            context = "cannot listen" if isinstance(error, OSError) else "identity"
+            raise config.BadConfig(f"operator's file: {context}: {error}") from error
 
     def _start_recorder(self) -> None:
         """Starts to keep records, from the first event on, if the operator's file asks for them.
@@ -476,7 +476,7 @@
         self.tasks: set[asyncio.Task[None]] = set()  # one for each connection, also during its handshake
 
     def admit(self) -> bool:
-        """Whether one more connection has room; at a limit it closes another one to make room."""
+        """Whether one more connection may be accepted; at a limit it closes another one to make room."""
         if len(self.tasks) >= MAX_HTTP_CONNECTIONS:
             return evict_one(self.connections, now_us())
         return self.platform_front.admit()
@@ -488,8 +488,8 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _serve(self, stream: SocketStream) -> None:
-        made = self.connect(stream)
-        connection = await made if isinstance(made, Awaitable) else made
+        connecting = self.connect(stream)
+        connection = await connecting if isinstance(connecting, Awaitable) else connecting
         if connection is None:
             return
         self.connections.add(connection)
--- a/onyxpulley/server_streams.py
+++ b/onyxpulley/server_streams.py
@@ -16,7 +16,7 @@
         ...
 
     def expired(self) -> bool:
-        """Whether the requests still running on it have had their time, so that it is to be closed."""
+        """Whether it is to be closed, because the time granted to its requests in flight is over."""
         ...
 
 
--- a/onyxpulley/servers.py
+++ b/onyxpulley/servers.py
@@ -32,7 +32,7 @@
 MAX_OBJECT_BYTES = 240_000
 MAX_LINE_BYTES = 2_048
 MAX_CONNECTIONS = 16  # connections to one server, where the descriptors allow
-SHARED_REQUESTS = 3  # requests on a connection before another one is opened: all of them end with it
+SHARED_REQUESTS = 3  # requests on a connection before another one is opened: if it fails, all of them fail
 MAX_STALLED_SWEEPS = 3  # an incomplete answer that does not grow during these sweeps never completes
 MAX_ABORTED_IDS = 64  # aborted requests that a connection remembers: their answers may still arrive
 CONNECTION_CAP_US = 5_000_000  # how long the connection limit learned from a server's refusal holds
@@ -297,16 +297,16 @@
         if words[0] not in self.in_flight:
             return  # aborted meanwhile, a duplicate, or an unknown id
         result = AttemptResult(OUTCOMES[words[1]], body=body, not_modified=words[1] == "unchanged")
-        row = fields.parse(words[2])
-        result.tag = row.get("version", "")
+        values = fields.parse(words[2])
+        result.tag = values.get("version", "")
         if not (result.tag.isalnum() or not result.tag):
             raise ValueError(f"version of a copy is not alphanumeric: {result.tag[:40]!r}")
-        result.note = NOTE_NUMBERS.get(row.get("tell", ""), 0)
-        result.waited = int(min(1e9, max(0.0, float(row.get("took", "0")))) * 1000)
-        result.issued_ms = fields.parse_number(row.get("stamp", "0"), 0, 2**53)
+        result.note = NOTE_NUMBERS.get(values.get("tell", ""), 0)
+        result.waited = int(min(1e9, max(0.0, float(values.get("took", "0")))) * 1000)
+        result.issued_ms = fields.parse_number(values.get("stamp", "0"), 0, 2**53)
         self.pool.servers.on_copy_timestamp(result.issued_ms)
-        if "meter" in row:
-            result.load = self.pool.read_load(row["meter"])
+        if "meter" in values:
+            result.load = self.pool.read_load(values["meter"])
         attempt = self.in_flight.pop(words[0])
         self.pool.servers.record_answer_time(self.last_used_us - attempt.started_at)
         self.pool.exchange.finish(attempt, result)
@@ -423,17 +423,19 @@
         if attempt.ended:
             return
         attempt.failed_connections += 1
-        others = self.usable_connections()
+        other_connections = self.usable_connections()
         if reason is Outcome.NOT_CONNECTED:
-            if others:
-                min(others, key=ServerConnection.load).enqueue(attempt)
+            if other_connections:
+                min(other_connections, key=ServerConnection.load).enqueue(attempt)
             else:
                 self.exchange.finish(attempt, AttemptResult(reason))
             return
-        if reason is Outcome.UNREACHABLE and others:  # the server accepts no more connections
+        if reason is Outcome.UNREACHABLE and other_connections:  # the server accepts no more connections
             self.connection_cap = max(1, len(self.connections))
             self.cap_set_us = now_us()
-        if attempt.failed_connections < MAX_CONNECTION_TRIES and (reason is Outcome.BROKEN or others):
+        if attempt.failed_connections < MAX_CONNECTION_TRIES and (
+            reason is Outcome.BROKEN or other_connections
+        ):
             self.servers.send(attempt)
             return
         self.exchange.finish(attempt, AttemptResult(Outcome.UNREACHABLE))
--- a/onyxpulley/settings.py
+++ b/onyxpulley/settings.py
@@ -15,10 +15,10 @@
     return default if value is None else value
 
 
-def item_or_default(row: Any, index: int, default: Any) -> Any:
-    """The item of a list, or `default` where it is absent or null, or where `row` is no list."""
-    if isinstance(row, list) and index < len(row) and row[index] is not None:
-        return row[index]
+def item_or_default(values: Any, index: int, default: Any) -> Any:
+    """The item of a list, or `default` where it is absent or null, or where `values` is no list."""
+    if isinstance(values, list) and index < len(values) and values[index] is not None:
+        return values[index]
     return default
 
 
@@ -37,23 +37,23 @@
     routers = max(1, int(get_or_default(params, "peersTotal", 1)))
     zone_index = zones.index(zone) if zone in zones else -1
 
-    def kind(key: str) -> str | None:
+    def read_kind(key: str) -> str | None:
         index = int(get_or_default(family_info, key, -1))
         return str(shapes[index]) if 0 <= index < len(shapes) else None
 
-    def one_class(index: int, row: Json) -> api.ClassSettings:
-        deadline = int(get_or_default(row, "deadline", 0))
+    def read_class(index: int, table: Json) -> api.ClassSettings:
+        deadline = int(get_or_default(table, "deadline", 0))
         return api.ClassSettings(
-            name=str(row["name"]),
-            aim=int(get_or_default(row, "objective", deadline)),
+            name=str(table["name"]),
+            aim=int(get_or_default(table, "objective", deadline)),
             deadline=deadline,
-            aim_stretch=float(get_or_default(row, "aimStretch", 0.0)),
-            worth=float(get_or_default(row, "worth", 1.0)),
-            late_share=float(get_or_default(row, "lateShare", 0.0)),
-            effect=api.Effect(get_or_default(row, "idempotency", "unsafe")),
-            dedup_by=str(get_or_default(row, "group", "all")),
-            dedup_window=int(get_or_default(row, "repeatWindow", 0)),
-            streamed=bool(get_or_default(row, "stream", False)),
+            aim_stretch=float(get_or_default(table, "aimStretch", 0.0)),
+            worth=float(get_or_default(table, "worth", 1.0)),
+            late_share=float(get_or_default(table, "lateShare", 0.0)),
+            effect=api.Effect(get_or_default(table, "idempotency", "unsafe")),
+            dedup_by=str(get_or_default(table, "group", "all")),
+            dedup_window=int(get_or_default(table, "repeatWindow", 0)),
+            streamed=bool(get_or_default(table, "stream", False)),
             freshness_lifetime=int(item_or_default(family_info.get("goodFor"), index, 0)),
             grace=int(item_or_default(family_info.get("staleFor"), index, 0)),
             stale_worth=float(item_or_default(family_info.get("staleEarns"), index, 0.0)),
@@ -63,13 +63,15 @@
     zone_routers = item_or_default(family_info.get("crewByZone"), zone_index, 0) if zone_index >= 0 else 0
     return api.Settings(
         zone=zone,
-        classes=tuple(one_class(i, row) for i, row in enumerate(get_or_default(params, "classes", []))),
+        classes=tuple(
+            read_class(index, table) for index, table in enumerate(get_or_default(params, "classes", []))
+        ),
         zones=tuple(zones),
         router_index=int(get_or_default(params, "me", 0)),
         routers=routers,
         tick=int(get_or_default(params, "period", defaults.tick)),
-        parent_kind=kind("parentKind"),
-        origin_kind=kind("originKind"),
+        parent_kind=read_kind("parentKind"),
+        origin_kind=read_kind("originKind"),
         zone_routers=int(zone_routers) or routers,
         zone_hubs=tuple(int(hub) for hub in get_or_default(family_info, "hubOf", [])),
         bypass_allowed=bool(get_or_default(family_info, "bypassAllowed", defaults.bypass_allowed)),
--- a/onyxpulley/simulator_adapter.py
+++ b/onyxpulley/simulator_adapter.py
@@ -37,15 +37,15 @@
     """A line that does not follow the simulator's protocol."""
 
 
-def _decode_entry(row: Json) -> api.ServerEntry:
+def _decode_entry(member: Json) -> api.ServerEntry:
     return api.ServerEntry(
-        server=str(row["server"]),
-        zone=str(get_or_default(row, "regionPart", "")),
-        kind=str(get_or_default(row, "classOfHost", "")),
-        cell=int(get_or_default(row, "pod", 0)),
-        state=api.ServerState(row["readiness"]),
-        weight=float(get_or_default(row, "capacityHint", 1.0)),
-        start_time=int(get_or_default(row, "since", 0)),
+        server=str(member["server"]),
+        zone=str(get_or_default(member, "regionPart", "")),
+        kind=str(get_or_default(member, "classOfHost", "")),
+        cell=int(get_or_default(member, "pod", 0)),
+        state=api.ServerState(member["readiness"]),
+        weight=float(get_or_default(member, "capacityHint", 1.0)),
+        start_time=int(get_or_default(member, "since", 0)),
     )
 
 
@@ -90,10 +90,10 @@
         case "lapsed":
             return api.ClientGone(item["ref"])
         case "announce":
-            rows = get_or_default(item, "membersList", [])
+            members = get_or_default(item, "membersList", [])
             version = int(get_or_default(item, "stamp", 0))
             return api.MembershipUpdate(
-                UPDATE_KINDS[item["scope"]], tuple(_decode_entry(row) for row in rows), version
+                UPDATE_KINDS[item["scope"]], tuple(_decode_entry(member) for member in members), version
             )
         case "recalled":
             group = item.get("familyId")
@@ -168,7 +168,7 @@
             events = [(int(item["i"]), item["op"], self._decode(item)) for item in frame["items"]]
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
             raise MalformedLine(f"{type(error).__name__}: {error}") from error
-        output = [row for event in events for row in self._run(now, *event)]
+        output = [action for event in events for action in self._run(now, *event)]
         return json.dumps({"output": output}, separators=(",", ":"))
 
     def _decode(self, item: Json) -> api.Event | tuple[api.Settings, int] | None:
--- a/onyxpulley/spiffe/manager.py
+++ b/onyxpulley/spiffe/manager.py
@@ -54,9 +54,9 @@
         """That of the TLS stream."""
         return self.tls.peer_may_have_left()
 
-    async def receive_into(self, room: memoryview) -> int:
-        """Reads decrypted bytes into `room`. Returns their number, or 0 at the end of the stream."""
-        received = await self.tls.receive_into(room)
+    async def receive_into(self, buffer: memoryview) -> int:
+        """Reads decrypted bytes into `buffer`. Returns their number, or 0 at the end of the stream."""
+        received = await self.tls.receive_into(buffer)
         if not self.session_remembered:  # the session ticket follows the handshake, before the first answer
             self.session_remembered = True
             self.manager.remember_session(self.peer, self.tls)
@@ -132,10 +132,10 @@
             self.log_event("rejected", source=source, why=str(error), kept="what was good before")
             return False
         if change:
-            own = self.store.svid
-            assert own is not None
+            current_svid = self.store.svid
+            assert current_svid is not None
             bundles = ",".join(sorted(change.changed_bundles))
-            svid = str(own.id) if change.svid_changed else "as before"
+            svid = str(current_svid.id) if change.svid_changed else "as before"
             self.log_event(
                 "reloaded", source=source, svid=svid, seconds_left=round(self.seconds_left()), bundles=bundles
             )
@@ -170,12 +170,12 @@
 
     def _context(self, server: bool) -> SSL.Context:
         """Returns the TLS context for the current SVID. Raises PeerRefused without a valid one."""
-        own = self.store.current_svid(self.clock())
+        svid = self.store.current_svid(self.clock())
         if self.contexts_generation != self.store.generation:
             self.contexts.clear()
             self.contexts_generation = self.store.generation
         if server not in self.contexts:
-            self.contexts[server] = make_context(own, server)
+            self.contexts[server] = make_context(svid, server)
         return self.contexts[server]
 
     # ---- Servers
@@ -255,7 +255,7 @@
     def metrics(self) -> list[Metric]:
         """Returns the metrics of identities and verified connections."""
         store, now = self.store, self.clock()
-        rows: list[Metric] = [
+        samples: list[Metric] = [
             ("identity_seconds_left", int(store.seconds_left(now)), "g"),
             ("identity_rotations", store.rotations, "c"),
             ("identity_updates_rejected", store.rejected, "c"),
@@ -263,19 +263,19 @@
             ("handshakes_full", self.handshakes["full"], "c"),
             ("handshakes_resumed", self.handshakes["resumed"], "c"),
         ]
-        rows += [
+        samples += [
             (f"peers_refused.{cause.value.replace(' ', '_')}", self.peers.refused[cause], "c")
             for cause in RefusalCause
         ]
-        rows += [
+        samples += [
             (f"peers_ended.{cause.value.replace(' ', '_')}", count, "c")
             for cause, count in self.peers.ended.items()
         ]
-        return rows
+        return samples
 
-    def _refuse(self, peer: str, why: str) -> PeerNotVerified:
-        self._log_peer("refused", peer=peer, why=why)
-        return PeerNotVerified(why)
+    def _refuse(self, peer: str, reason: str) -> PeerNotVerified:
+        self._log_peer("refused", peer=peer, why=reason)
+        return PeerNotVerified(reason)
 
     def _log_peer(self, event: str, **fields: object) -> None:
         """Logs an event on a peer. The rate is limited, since peers may connect again and again."""
--- a/onyxpulley/spiffe/peers.py
+++ b/onyxpulley/spiffe/peers.py
@@ -202,14 +202,14 @@
     )
 
 
-def read_callers(rows: Iterable[str], label: str) -> tuple[str, ...]:
+def read_callers(patterns: Iterable[str], label: str) -> tuple[str, ...]:
     """Reads a list of exact SPIFFE IDs and of prefixes that end in `/*`, which match whole path segments.
 
     `label` names the field in errors. Raises InvalidIdentity.
     """
     callers = []
-    for text in rows:
-        bare = text.removesuffix("/*")
-        read_spiffe_id(bare, label, workload=bare == text or bare.count("/") > 2)
-        callers.append(text)
+    for pattern in patterns:
+        spiffe_id = pattern.removesuffix("/*")
+        read_spiffe_id(spiffe_id, label, workload=spiffe_id == pattern or spiffe_id.count("/") > 2)
+        callers.append(pattern)
     return tuple(callers)
--- a/onyxpulley/spiffe/tls.py
+++ b/onyxpulley/spiffe/tls.py
@@ -59,7 +59,7 @@
             self.connection.set_accept_state()
         else:
             self.connection.set_connect_state()
-        self.room = memoryview(bytearray(CHUNK))  # for encrypted bytes
+        self.encrypted_buffer = memoryview(bytearray(CHUNK))  # for encrypted bytes
         self.sending = asyncio.Lock()
 
     @property
@@ -99,9 +99,9 @@
 
     async def _feed(self) -> bool:
         """Passes encrypted bytes from the plain stream to OpenSSL. Returns False at the end of the stream."""
-        received = await self.plain.receive_into(self.room)
+        received = await self.plain.receive_into(self.encrypted_buffer)
         if received:
-            self.connection.bio_write(bytes(self.room[:received]))
+            self.connection.bio_write(bytes(self.encrypted_buffer[:received]))
         else:
             self.connection.bio_shutdown()
         return bool(received)
@@ -121,11 +121,11 @@
                 await self._flush()  # sends the alert
                 raise TlsError(error_text(error)) from None
 
-    async def receive_into(self, room: memoryview) -> int:
-        """Reads decrypted bytes into `room`. Returns their number, or 0 at the end of the stream."""
+    async def receive_into(self, buffer: memoryview) -> int:
+        """Reads decrypted bytes into `buffer`. Returns their number, or 0 at the end of the stream."""
         while True:
             try:
-                return self.connection.recv_into(room, len(room))
+                return self.connection.recv_into(buffer, len(buffer))
             except SSL.WantReadError:
                 await self._flush()
                 if not await self._feed():
@@ -176,5 +176,5 @@
     """Returns OpenSSL's description of an error, which contains no keys."""
     if isinstance(error, SSL.SysCallError):
         return "connection ended"
-    rows = error.args[0] if error.args and isinstance(error.args[0], list) else []
-    return str(rows[-1][2]) if rows else type(error).__name__
+    entries = error.args[0] if error.args and isinstance(error.args[0], list) else []
+    return str(entries[-1][2]) if entries else type(error).__name__
--- a/onyxpulley/spiffe/workload.py
+++ b/onyxpulley/spiffe/workload.py
@@ -133,19 +133,19 @@
         while True:
             try:
                 await self._receive_updates()
-                why = "the stream ended"
+                reason = "the stream ended"
             except grpc.aio.AioRpcError as error:
-                why = f"{error.code().name}: {(error.details() or '')[:120]}"
+                reason = f"{error.code().name}: {(error.details() or '')[:120]}"
             except InvalidIdentity as error:
-                why = f"message refused: {error}"
+                reason = f"message refused: {error}"
             except Exception as error:  # an error within gRPC must not end the task; the SVID stays in use
-                why = f"{type(error).__name__}: {error}"[:160]
+                reason = f"{type(error).__name__}: {error}"[:160]
             self.connected = False
             self.disconnects += 1
             delay = self.backoff.next_delay(self.seconds_left())
             # During a long outage only every 16th failure is logged.
             if self.backoff.failures <= 3 or self.backoff.failures % 16 == 0:
-                self.log_event("agent", why=why, again_in=round(delay, 1), failures=self.backoff.failures)
+                self.log_event("agent", why=reason, again_in=round(delay, 1), failures=self.backoff.failures)
             await asyncio.sleep(delay)
 
     async def _receive_updates(self) -> None:
--- a/onyxpulley/streams.py
+++ b/onyxpulley/streams.py
@@ -67,7 +67,7 @@
         """Whether reads have failed for so long that the peer may have closed the connection unnoticed."""
         ...
 
-    async def receive_into(self, room: memoryview) -> int:
+    async def receive_into(self, buffer: memoryview) -> int:
         """Waits for bytes and returns how many were received; 0 at the end of the stream."""
         ...
 
@@ -101,12 +101,12 @@
         self.write_delay_disabled = disable_write_delay(sock)
         self.retry_delay = 0.0  # seconds before the next send after an error
 
-    async def receive_into(self, room: memoryview) -> int:
+    async def receive_into(self, buffer: memoryview) -> int:
         """Waits for bytes and returns how many were received; 0 at the end of the stream."""
         delay = 0.0
         while True:
             try:
-                received = await self.loop.sock_recv_into(self.sock, room)
+                received = await self.loop.sock_recv_into(self.sock, buffer)
             except OSError as error:
                 self._raise_if_fatal("recv", error)
                 self.reads_failing_since = self.reads_failing_since or now_us()
@@ -118,10 +118,10 @@
             delay = next_retry_delay(delay)
             await asyncio.sleep(delay)
 
-    def receive_now(self, room: memoryview) -> int | None:
+    def receive_now(self, buffer: memoryview) -> int | None:
         """Returns how many bytes were there; 0 at the end of the stream, None if there are none now."""
         try:
-            return self.sock.recv_into(room)
+            return self.sock.recv_into(buffer)
         except BlockingIOError:
             return None
         except OSError as error:
--- a/onyxpulley/tenants.py
+++ b/onyxpulley/tenants.py
@@ -189,10 +189,10 @@
         }
 
 
-def _number(table: dict[str, Any], name: str, default: float, least: float, most: float) -> float:
+def _number(table: dict[str, Any], name: str, default: float, minimum: float, maximum: float) -> float:
     value = table.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-        raise InvalidTenant(f"{name} must be a number from {least:g} to {most:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+        raise InvalidTenant(f"{name} must be a number from {minimum:g} to {maximum:g}")
     return value
 
 
@@ -254,7 +254,7 @@
             raise InvalidTenant(f"there can be at most {MAX_TENANTS} tenants")
         for other in self.by_name.values():
             for prefix in other.prefixes if other is not old else ():
-                if any(prefix.startswith(own) or own.startswith(prefix) for own in tenant.prefixes):
+                if any(prefix.startswith(new) or new.startswith(prefix) for new in tenant.prefixes):
                     raise InvalidTenant(f"prefix {prefix} is another tenant's")
         if old is not None:
             tenant.usage = old.usage
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("error_ms", [-HOUR_MS, -5_000, 0, 5_000, HOUR_MS])
 def test_ages_are_bounded_on_the_safe_side_however_wrong_this_clock_is(error_ms: int) -> None:
     manual_clock = ManualClock()
-    platform = PlatformClock(manual_clock, own_offset=(NOW_MS + error_ms) * 1000)
+    platform = PlatformClock(manual_clock, local_offset=(NOW_MS + error_ms) * 1000)
     platform.observe_initial(NOW_MS - 2_000)  # the platform's last timestamp is two seconds old
     true_age_ms = 3_000
     assert 0 <= platform.min_age_us(NOW_MS - true_age_ms) <= true_age_ms * 1000
@@ -56,7 +56,7 @@
 
 
 def test_a_timestamp_far_ahead_of_all_others_is_ignored() -> None:
-    platform = PlatformClock(ManualClock(), own_offset=NOW_MS * 1000)
+    platform = PlatformClock(ManualClock(), local_offset=NOW_MS * 1000)
     platform.observe_event(NOW_MS)
     platform.observe_event(NOW_MS + HOUR_MS)
     platform.observe_copy(NOW_MS + 100 * HOUR_MS)
