--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -126,10 +126,10 @@
         return min(MAX_RETRY_AFTER_MS, settings.max_retry_after // 1000) if settings.sends_retry_after else 0
 
     def server_counts(self) -> tuple[int, int]:
-        """The number of listed servers, and how many of the ready ones the router avoids now."""
-        known = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
-        ready = [s for s in known if s.state is api.ServerState.READY]
-        return len(known), sum(not self.router.is_usable(s) for s in ready)
+        """The number of listed servers, and how many of the ready ones are not usable now."""
+        listed = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
+        ready = [s for s in listed if s.state is api.ServerState.READY]
+        return len(listed), sum(not self.router.is_usable(s) for s in ready)
 
     # ---- Requests
     def route(self, request: Request) -> Sequence[Command]:
--- a/onyxpulley/program.py
+++ b/onyxpulley/program.py
@@ -253,7 +253,7 @@
     def read_metrics(self) -> list[Metric]:
         """The metrics that METRICS shows."""
         answers = self.exchange.answer_counts
-        known, avoided = self.decisions.server_counts()
+        listed, unusable = self.decisions.server_counts()
         samples: list[Metric] = []
         for cls in sorted({*self.decisions.class_names, *(cls for cls, _ in answers)}):
             aborted = answers[cls, Verdict.FAILED] + answers[cls, Verdict.EXPIRED]
@@ -266,8 +266,8 @@
             *samples,
             ("forwards", self.servers.forwards, "c"),
             ("outstanding", len(self.exchange.open_requests), "g"),
-            ("discovered", known, "g"),
-            ("ejected", avoided, "g"),
+            ("discovered", listed, "g"),
+            ("ejected", unusable, "g"),
             ("sighup_applied", self.reload_counts["applied"], "c"),
             ("sighup_rejected", self.reload_counts["rejected"], "c"),
             *(self.identity_manager.metrics() if self.identity_manager is not None else ()),
--- a/onyxpulley/router.py
+++ b/onyxpulley/router.py
@@ -22,7 +22,8 @@
 # ---- Health checks and outlier ejection
 # Two failures in a row happen by chance; waiting for six would cost twice the requests.
 MAX_CONSECUTIVE_FAILURES = 3
-# Weight of one outcome in a server's failure rate. Less notices a fault too late, more reacts to chance.
+# Weight of one outcome in a server's failure rate. A smaller one notices a fault too late, a greater one
+# reacts to chance.
 FAILURE_SMOOTHING = 0.1
 # A lower threshold would eject caches whose requests succeed after one quick retry.
 EJECTION_FAILURE_RATE = 0.9
@@ -53,7 +54,8 @@
 
 # ---- Late attempts and retries
 # An attempt is checked after LATE_FACTOR x its expected latency + LATE_FILL_FACTOR x the latency of a fill +
-# LATE_MARGIN. Less for fills would check those that go well, more would notice a silent server late.
+# LATE_MARGIN. A smaller factor for fills would check fills that go well, a greater one would notice a silent
+# server late.
 LATE_FACTOR = 1.3
 LATE_MARGIN = 60 * MS
 LATE_FILL_FACTOR = 4.0
@@ -81,7 +83,7 @@
 # for idle caches.
 REPORT_TIME_CONSTANT = 2_000 * MS
 SMOOTHING_FACTOR = 0.1  # weight of one sample in the running means
-# Greatest weight of a sample that comes alone. Less learns too slowly, more reacts to chance.
+# Greatest weight of a sample after a pause. A smaller one learns too slowly, a greater one reacts to chance.
 MAX_SAMPLE_WEIGHT = 0.3
 
 # ---- Admission by expected time
@@ -92,7 +94,7 @@
 FILL_TIME_MARGIN = 1.7
 
 # ---- The router's own copies
-# Part of the aim within which the router's own link must send the answer: 1.0 would miss the aim in a surge.
+# Share of the aim within which the router's own link must send the answer: 1.0 would miss the aim in a surge.
 OWN_COPY_AIM_SHARE = 0.7
 # A copy is not used so shortly before it reaches its maximum age, since the answer is written a little later.
 OWN_COPY_AGE_MARGIN = 100 * MS
