--- a/onyxpulley/console.py
+++ b/onyxpulley/console.py
@@ -21,9 +21,9 @@
 Metric = tuple[str, int, str]  # name, value and kind: "c" is a counter, "g" a gauge
 
 
-def format_statsd(rows: Iterable[Metric]) -> bytes:
+def format_statsd(samples: Iterable[Metric]) -> bytes:
     """The metrics as lines of StatsD, each name behind `app.`."""
-    return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in rows).encode()
+    return "".join(f"app.{name}:{value}|{kind}\n" for name, value, kind in samples).encode()
 
 
 class ConsoleConnection:
@@ -97,8 +97,8 @@
             return format_statsd((name, value, "c") for name, value in metrics.counters()) + b"EOF\n"
         if word not in self.commands:
             return b"400 unknown call\n"
-        problem = self.commands[word]()
-        return f"400 {problem}\n".encode() if problem else b"200 ok\n"
+        refusal = self.commands[word]()
+        return f"400 {refusal}\n".encode() if refusal else b"200 ok\n"
 
     def admit(self) -> bool:
         """Always true: at the limit the oldest connection is closed, first of those without a whole line."""
--- a/onyxpulley/core.py
+++ b/onyxpulley/core.py
@@ -17,7 +17,7 @@
 from onyxpulley.clock import now_us
 from onyxpulley.copy_store import Copy, CopyStore
 
-RESEND_DELAY = 0.01  # seconds before an attempt is sent again that was held back: its client may have left
+RESEND_DELAY = 0.01  # seconds until an attempt is tried again that was held back as its client may have left
 
 
 class Outcome(Enum):
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answers a request; attempts that are still out are given up."""
+    """Answers a request; attempts that are still in flight are given up."""
 
     request: Request
     answer: Answer
@@ -173,7 +173,7 @@
         """Notes that no answer is owed any more."""
 
     def answer_now(self, request: Request) -> Sequence[Command]:
-        """Decides on the final answer at once, whatever attempts are out."""
+        """Decides on the final answer at once, whatever attempts are in flight."""
 
     def is_cacheable(self, cls: str) -> bool:
         """Whether answers of this class may be kept as copies."""
@@ -211,8 +211,8 @@
 class RequestLimits(Protocol):
     """Limits on all open requests together."""
 
-    most_open: int
-    bodies: int  # bytes of all request bodies
+    max_open_requests: int
+    request_body_bytes: int  # of all request bodies together
 
 
 class Exchange:
@@ -269,7 +269,10 @@
 
     def _is_full(self) -> bool:
         """Whether the limits that bound the memory of all open requests are reached."""
-        return len(self.open_requests) >= self.limits.most_open or self.body_bytes > self.limits.bodies
+        return (
+            len(self.open_requests) >= self.limits.max_open_requests
+            or self.body_bytes > self.limits.request_body_bytes
+        )
 
     def client_left(self, request: Request) -> None:
         """Drops a request whose client no longer waits, and gives up its attempts."""
@@ -286,7 +289,7 @@
             self.answer_now(request)
 
     def answer_now(self, request: Request) -> None:
-        """Answers a request at once, whatever attempts are out."""
+        """Answers a request at once, whatever attempts are in flight."""
         self._run_decision(request, lambda: self.policy.answer_now(request))
 
     # ---- Called by the transport
@@ -390,8 +393,8 @@
         """
         try:
             commands = decision()
-        except Exception as problem:
-            self._fail_request(request, problem)
+        except Exception as error:
+            self._fail_request(request, error)
             return
         self.execute(commands)
 
@@ -399,13 +402,13 @@
         """Executes one command. An exception fails its request only: the commands behind it are executed."""
         try:
             self._execute_one(command)
-        except Exception as problem:
+        except Exception as error:
             request = command.request if isinstance(command, Reply) else command.attempt.request
-            self._fail_request(request, problem)
+            self._fail_request(request, error)
 
-    def _fail_request(self, request: Request, problem: Exception) -> None:
-        metrics.count(f"internal_error.{type(problem).__name__}")
-        logs.event("core", "internal_error", id=request.txn, why=repr(problem))
+    def _fail_request(self, request: Request, error: Exception) -> None:
+        metrics.count(f"internal_error.{type(error).__name__}")
+        logs.event("core", "internal_error", id=request.txn, why=repr(error))
         if not request.ended:
             self._answer(request, Answer(Verdict.FAILED, may_have_run=request.may_have_run))
         self._abort_attempts(request)
@@ -477,7 +480,7 @@
         self.body_bytes -= len(request.body)
 
     def _abort_attempts(self, request: Request) -> None:
-        """Gives up all attempts of a request that are still out."""
+        """Gives up all attempts of a request that are still in flight."""
         for attempt in request.attempts:
             if not attempt.ended:
                 self._close_attempt(attempt)
--- a/onyxpulley/decision_adapter.py
+++ b/onyxpulley/decision_adapter.py
@@ -66,7 +66,7 @@
 class DecisionAdapter:
     """The routing policy of Exchange, decided by a Router.
 
-    `link_transfers` and `max_tracked_objects` complete the settings object `params`.
+    `link_transfers` and `max_tracked_objects` are settings that `params`, the settings object, lacks.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         )
         old = self.settings
         if (new.zone, new.parent_kind, new.origin_kind) != (old.zone, old.parent_kind, old.origin_kind):
-            raise BadConfig("zone and kinds take a restart")
+            raise BadConfig("a change of the zone or of the kinds of servers needs a restart")
         if new != old:
             self._use_settings(new)
             self.router.configure(new)
@@ -126,10 +126,10 @@
         return min(MAX_RETRY_AFTER_MS, settings.max_retry_after // 1000) if settings.sends_retry_after else 0
 
     def server_counts(self) -> tuple[int, int]:
-        """The number of listed servers, and how many of the ready ones the router avoids now."""
-        known = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
-        ready = [s for s in known if s.state is api.ServerState.READY]
-        return len(known), sum(not self.router.is_usable(s) for s in ready)
+        """The number of listed servers, and how many of the ready ones are not usable now."""
+        listed = [s for s in self.router.servers.values() if s.state is not api.ServerState.GONE]
+        ready = [s for s in listed if s.state is api.ServerState.READY]
+        return len(listed), sum(not self.router.is_usable(s) for s in ready)
 
     # ---- Requests
     def route(self, request: Request) -> Sequence[Command]:
@@ -198,7 +198,7 @@
         return commands
 
     def answer_now(self, request: Request) -> Sequence[Command]:
-        """Decides on the final answer at once, whatever attempts are out."""
+        """Decides on the final answer at once, whatever attempts are in flight."""
         return self._to_commands(self.router.force_answer(self.clock(), request.key))
 
     def recheck(self, attempt: Attempt) -> bool:
--- a/onyxpulley/logs.py
+++ b/onyxpulley/logs.py
@@ -45,9 +45,9 @@
             text = f"log: {lost} lines could not be written\n{text}"
         try:
             self._write(text.encode("utf-8", "replace") + b"\n")
-        except OSError as problem:
+        except OSError as error:
             self.lost += 1
-            metrics.count_failed_call("log_write", problem)
+            metrics.count_failed_call("log_write", error)
         else:
             self.lost -= lost
 
@@ -108,8 +108,8 @@
     if suppressed:
         fields["passed_over"] = suppressed
     timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(unix_seconds()))
-    row = {"time": f"{timestamp}Z", "part": part, "event": name, **fields}
-    _logger.info("%s", " ".join(f"{key}={_format_value(value)}" for key, value in row.items()))
+    values = {"time": f"{timestamp}Z", "part": part, "event": name, **fields}
+    _logger.info("%s", " ".join(f"{key}={_format_value(value)}" for key, value in values.items()))
 
 
 def event_logger(part: str) -> EventLogger:
