--- a/onyxpulley/admin.py
+++ b/onyxpulley/admin.py
@@ -134,7 +134,7 @@
     def _patch_tenant(self, tenant: Tenant, patch: dict[str, Any]) -> Response:
         """Applies a merge patch (RFC 7396) to all fields but the name and the keys."""
         if {"name", "keys"} & set(patch):
-            raise InvalidTenant("name and keys cannot be changed by PATCH")
+            raise InvalidTenant("name and keys are not changed here")
         current = tenant.describe()
         del current["keys"]
         merged = {name: value for name, value in {**current, **patch}.items() if value is not None}
@@ -157,5 +157,5 @@
     except (ValueError, RecursionError):
         raise InvalidTenant("the body is not JSON") from None
     if not isinstance(content, dict):
-        raise InvalidTenant("the body is not a JSON object")
+        raise InvalidTenant("the body is not an object")
     return content
--- a/onyxpulley/tenants.py
+++ b/onyxpulley/tenants.py
@@ -76,15 +76,15 @@
 def read_key(table: dict[str, Any]) -> Key:
     """Reads a key from a table with `kid`, `alg` and `jwk`. Raises InvalidTenant."""
     if not isinstance(table, dict) or set(table) != {"kid", "alg", "jwk"}:
-        raise InvalidTenant("a key must have exactly the fields kid, alg and jwk")
+        raise InvalidTenant("a key has kid, alg and jwk")
     kid, alg = table["kid"], table["alg"]
     if not isinstance(kid, str) or not KEY_ID.fullmatch(kid):
-        raise InvalidTenant("kid must be 1 to 128 letters, digits, dots, underscores or hyphens")
+        raise InvalidTenant("bad kid")
     if alg not in ALGORITHMS:
-        raise InvalidTenant(f"key {kid}: alg must be one of {', '.join(ALGORITHMS)}")
+        raise InvalidTenant(f"alg is one of {', '.join(ALGORITHMS)}")
     key_type, min_size = ALGORITHMS[alg]
     if not isinstance(table["jwk"], dict) or table["jwk"].get("kty") != key_type:
-        raise InvalidTenant(f"key {kid}: {alg} needs a jwk of kty {key_type}")
+        raise InvalidTenant(f"key {kid}: {alg} wants a jwk of kty {key_type}")
     try:
         jwk = import_key(table["jwk"])
         if alg == "HS256" and len(jwk.raw_value) < min_size:  # type: ignore[arg-type]
@@ -92,7 +92,7 @@
         if alg == "RS256" and jwk.raw_value.key_size < min_size:  # type: ignore[union-attr]
             raise InvalidTenant(f"key {kid}: shorter than {min_size} bits")
         if key_type in ("EC", "OKP") and table["jwk"].get("crv") not in ("P-256", "Ed25519"):
-            raise InvalidTenant(f"key {kid}: crv must be P-256 or Ed25519")
+            raise InvalidTenant(f"key {kid}: curve is P-256 or Ed25519")
     except InvalidTenant:
         raise
     except Exception:  # the library's exceptions are of many types, and their text may contain the key
@@ -192,7 +192,7 @@
 def _number(table: dict[str, Any], name: str, default: float, minimum: float, maximum: float) -> float:
     value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
-        raise InvalidTenant(f"{name} must be a number from {minimum:g} to {maximum:g}")
+        raise InvalidTenant(f"{name} is a number from {minimum:g} to {maximum:g}")
     return value
 
 
@@ -203,16 +203,14 @@
         raise InvalidTenant(f"unknown field {sorted(unknown)[0]!r}")
     for name in ("name", "issuer", "audience"):
         if not isinstance(table.get(name), str) or not 0 < len(table[name]) <= 256:
-            raise InvalidTenant(f"{name} must be a string of 1 to 256 characters")
+            raise InvalidTenant(f"{name} is missing or not a text")
     if not TENANT_NAME.fullmatch(table["name"]):
-        raise InvalidTenant(
-            "name must be 1 to 63 lower-case letters, digits or hyphens, and not start with a hyphen"
-        )
+        raise InvalidTenant("name: small letters, digits and hyphens")
     prefixes = table.get("prefixes")
     if not isinstance(prefixes, list) or not prefixes or len(prefixes) > 64:
-        raise InvalidTenant("prefixes must be a list of 1 to 64 prefixes")
+        raise InvalidTenant("prefixes is a list of 1 to 64")
     if not all(isinstance(prefix, str) and OBJECT_PREFIX.fullmatch(prefix) for prefix in prefixes):
-        raise InvalidTenant("each of prefixes must be 1 to 16 lower-case hex digits")
+        raise InvalidTenant("a prefix is 1 to 16 hex digits")
     tenant = Tenant(
         table["name"],
         table["issuer"],
@@ -223,7 +221,7 @@
     )
     keys = table.get("keys", [])
     if not isinstance(keys, list):
-        raise InvalidTenant("keys must be a list")
+        raise InvalidTenant("keys is a list")
     for key in keys:
         add_key(tenant, read_key(key))
     return tenant
@@ -232,9 +230,9 @@
 def add_key(tenant: Tenant, key: Key) -> None:
     """Adds a key to a tenant. Raises InvalidTenant if its kid is in use or the tenant has too many keys."""
     if key.kid in tenant.keys:
-        raise InvalidTenant(f"the tenant already has a key {key.kid}")
+        raise InvalidTenant(f"key {key.kid} is there already")
     if len(tenant.keys) >= MAX_KEYS:
-        raise InvalidTenant(f"a tenant can have at most {MAX_KEYS} keys")
+        raise InvalidTenant(f"a tenant has {MAX_KEYS} keys at most")
     tenant.keys[key.kid] = key
 
 
@@ -251,7 +249,7 @@
         """
         old = self.by_name.get(tenant.name)
         if old is None and len(self.by_name) >= MAX_TENANTS:
-            raise InvalidTenant(f"there can be at most {MAX_TENANTS} tenants")
+            raise InvalidTenant(f"{MAX_TENANTS} tenants at most")
         for other in self.by_name.values():
             for prefix in other.prefixes if other is not old else ():
                 if any(prefix.startswith(new) or new.startswith(prefix) for new in tenant.prefixes):
--- a/tests/test_signed.py
+++ b/tests/test_signed.py
@@ -192,7 +192,7 @@
         (TENANT.format("a", "7") + TENANT.format("b", "7f"), "another tenant's"),
         (TENANT.format("a", "7") + TENANT.format("a", "8"), "tenant a is defined twice"),
         (TENANT.format("a", "xyz"), "hex digits"),
-        (TENANT.format("a", "7") + '[[tenants.keys]]\nkid="k"\nalg="none"\njwk={}', "alg must be one of"),
+        (TENANT.format("a", "7") + '[[tenants.keys]]\nkid="k"\nalg="none"\njwk={}', "alg is one of"),
         (TENANT.format("a", "7") + '[[tenants.keys]]\nkid="k"\nalg="RS256"\njwk={kty="oct"}', "kty RSA"),
     ],
 )
